--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -23,7 +23,7 @@
 
 from toys import SETTINGS, Discovery, Host, Sender, until
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.control import Controller
 from willownotch.net import config as configs
 
@@ -75,7 +75,7 @@
         gc.collect()
         began = time.thread_time()
         fresh, _ = configs.retuned(old, configs.load(str(path), {}, old))
-        control.handle(float(turn), [face.Retuned(fresh.settings)])
+        control.handle(float(turn), [api.SettingsChanged(fresh.settings)])
         took.append(time.thread_time() - began)
     gc.collect()
     tracemalloc.start()
--- a/benchmarks/capacity/decision_module.py
+++ b/benchmarks/capacity/decision_module.py
@@ -20,7 +20,7 @@
 import tracemalloc
 from random import Random
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.control import Controller
 
 RATE = 121.0  # messages a second of one sender, at the target
@@ -31,12 +31,12 @@
 ROUND_SHARE, GAP_MOST = 3, 0.04  # the owner's: from a round's start to the next's
 
 
-def settings() -> face.Settings:
+def settings() -> api.Settings:
     """Those of a sender that would hold millions: room and slots bound nothing here."""
-    safe = face.MessageClass("safe", 1.0, 2.0, 7200.0, 0.5, face.Effect.SAFE)
-    return face.Settings(
+    safe = api.MessageClass("safe", 1.0, 2.0, 7200.0, 0.5, api.Idempotency.SAFE)
+    return api.Settings(
         (safe,),
-        (face.Kind("one"),),
+        (api.DestinationKind("one"),),
         slots=2000,
         holding_room=10_000_000,
         max_attempts=1000,
@@ -52,29 +52,29 @@
     def __init__(self, down: int, live: int, held: int) -> None:
         self.control, self.random = Controller(settings(), SEED), Random(SEED)
         self.down, self.live, self.number = down, live, 0
-        self.events: list[tuple[float, int, face.Event]] = []
+        self.events: list[tuple[float, int, api.Event]] = []
         self.attempts: dict[str, int] = {}
         self.now = self.spent = 0.0
         self.rounds = self.delivered = 0
-        self.round(face.EndpointList(tuple(face.Endpoint(n, n, 0, 0) for n in range(down + live)), True))
+        self.round(api.EndpointList(tuple(api.Endpoint(n, n, 0, 0) for n in range(down + live)), True))
         for _ in range(3):  # each that is down is judged so
             self.round(*(self.message(n) for n in range(down)))
             self.run(self.now + 1.0, 0.0)
-        missing = held - sum(len(d.held) for d in self.control.book.destinations.values())
+        missing = held - sum(len(d.held) for d in self.control.store.destinations.values())
         self.round(*(self.message(n % down) for n in range(max(0, missing))))
         self.now += OUTAGE_S
-        self.round(face.Timer(1))  # a last trial of each, and from then on as rarely as after so long
+        self.round(api.Timer(1))  # a last trial of each, and from then on as rarely as after so long
         self.run(self.now + 3.0, RATE)
 
-    def message(self, destination: int) -> face.Message:
+    def message(self, destination: int) -> api.Message:
         """A new one."""
         self.number += 1
-        return face.Message(f"{self.number:016x}", destination, 0, 3600.0)
+        return api.Message(f"{self.number:016x}", destination, 0, 3600.0)
 
-    def round(self, *events: face.Event) -> float:
+    def round(self, *events: api.Event) -> float:
         """One round; its processor time."""
         for event in events:
-            if isinstance(event, face.AttemptEnded):
+            if isinstance(event, api.AttemptEnded):
                 self.attempts.pop(event.ref, None) if event.final else None
         began = time.thread_time()
         actions = self.control.handle(self.now, list(events))
@@ -82,21 +82,21 @@
         self.spent += took
         self.rounds += 1
         for action in actions:
-            if isinstance(action, face.Wake):
-                self.at(self.now + action.after_s, face.Timer(action.label))
-            elif isinstance(action, face.Send):
+            if isinstance(action, api.SetTimer):
+                self.at(self.now + action.after_s, api.Timer(action.label))
+            elif isinstance(action, api.Send):
                 tries = self.attempts[action.ref] = self.attempts.get(action.ref, -1) + 1
                 fails = action.endpoint < self.down
-                outcome = face.Outcome.UNREACHABLE if fails else face.Outcome.DELIVERED
+                outcome = api.Outcome.UNREACHABLE if fails else api.Outcome.DELIVERED
                 span = 0.001 if fails else TOOK_S
                 self.at(
                     self.now + span,
-                    face.AttemptEnded(action.ref, tries, action.endpoint, outcome, span, final=not fails),
+                    api.AttemptEnded(action.ref, tries, action.endpoint, outcome, span, final=not fails),
                 )
                 self.delivered += not fails
         return took
 
-    def at(self, when: float, event: face.Event) -> None:
+    def at(self, when: float, event: api.Event) -> None:
         """Have an event come in then."""
         heapq.heappush(self.events, (when, len(self.events) + self.rounds * 1_000_000, event))
 
@@ -134,18 +134,18 @@
 def listed(number: int) -> tuple[Controller, list[float], list[float]]:
     """A module with so many destinations, one endpoint each; CPU s of whole lists, of changes of one."""
     control = Controller(settings(), SEED)
-    entries = tuple(face.Endpoint(n, n, 0, 0) for n in range(number))
+    entries = tuple(api.Endpoint(n, n, 0, 0) for n in range(number))
     whole, one = [], []
     for turn in range(4):
         began = time.thread_time()
-        control.handle(float(turn), [face.EndpointList(entries, True)])
+        control.handle(float(turn), [api.EndpointList(entries, True)])
         whole.append(time.thread_time() - began)
     random = Random(SEED)
     for turn in range(9):
         n = random.randrange(number)
-        readiness = (face.Readiness.DRAINING, face.Readiness.SERVING)[turn % 2]
+        readiness = (api.Readiness.DRAINING, api.Readiness.SERVING)[turn % 2]
         began = time.thread_time()
-        control.handle(5.0 + turn, [face.EndpointList((face.Endpoint(n, n, 0, 0, readiness),), False)])
+        control.handle(5.0 + turn, [api.EndpointList((api.Endpoint(n, n, 0, 0, readiness),), False)])
         one.append(time.thread_time() - began)
     return control, whole[:1], one
 
--- a/benchmarks/capacity/module_list.py
+++ b/benchmarks/capacity/module_list.py
@@ -44,7 +44,7 @@
 
 def measure(number: int) -> dict[str, float]:
     """Medians at one size, in CPU s and bytes, of the tree that is imported."""
-    from willownotch import interface as face
+    from willownotch import interface as api
     from willownotch.control import Controller
     from willownotch.net.clock import Clock
     from willownotch.net.config import ListedEndpoint, ListNews
@@ -52,8 +52,8 @@
     from willownotch.net.registry import Hosts
 
     random = Random(SEED)
-    safe = face.MessageClass("safe", 1.0, 2.0, 20.0, 0.5, face.Effect.SAFE)
-    settings = face.Settings((safe,), (face.Kind("one"),), slots=20, holding_room=100, senders=910)
+    safe = api.MessageClass("safe", 1.0, 2.0, 20.0, 0.5, api.Idempotency.SAFE)
+    settings = api.Settings((safe,), (api.DestinationKind("one"),), slots=20, holding_room=100, senders=910)
 
     def module() -> Controller:
         return Controller(settings, SEED)
@@ -65,10 +65,10 @@
         address = f"127.{n >> 14 & 63}.{n >> 7 & 127}.{n & 127}:7000"
         return ListedEndpoint(f"s-{n}", address, n, "Ready" if ready else "Terminating", "one")
 
-    def endpoint(n: int, ready: bool = True) -> face.Endpoint:
-        return face.Endpoint(n, n, 0, 0, face.Readiness.SERVING if ready else face.Readiness.DRAINING)
+    def endpoint(n: int, ready: bool = True) -> api.Endpoint:
+        return api.Endpoint(n, n, 0, 0, api.Readiness.SERVING if ready else api.Readiness.DRAINING)
 
-    whole = face.EndpointList(tuple(endpoint(n) for n in range(number)), True)
+    whole = api.EndpointList(tuple(endpoint(n) for n in range(number)), True)
     listed = ListNews(1, True, [entry(n) for n in range(number)])
     found: dict[str, list[float]] = {
         "module, whole list": [timed(module().handle, 0.0, [whole]) for _ in range(WHOLE)]
@@ -86,7 +86,7 @@
     found["module, one change"], found["hosts, one change"] = [], []
     for turn in range(CHANGES):
         n, ready = random.randrange(number), bool(turn % 2)
-        news = face.EndpointList((endpoint(n, ready),), False)
+        news = api.EndpointList((endpoint(n, ready),), False)
         found["module, one change"].append(timed(control.handle, 1.0 + turn, [news]))
         found["hosts, one change"].append(timed(known.read, ListNews(2 + turn, False, [entry(n, ready)])))
     found["hosts, asked"] = [timed(known.listed, random.randrange(number)) for _ in range(ASKED)]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,12 +3,12 @@
 from willownotch.control import Controller
 from willownotch.interface import (
     AttemptEnded,
-    Effect,
+    Idempotency,
     Endpoint,
     EndpointList,
     Fail,
-    Group,
-    Kind,
+    DedupScope,
+    DestinationKind,
     Message,
     MessageClass,
     Outcome,
@@ -19,23 +19,23 @@
     Timer,
 )
 
-SAFE = MessageClass("safe", 1.0, 2.0, 20.0, 0.5, Effect.SAFE)
-KEYED = MessageClass("keyed", 2.0, 2.0, 20.0, 0.5, Effect.KEYED, Group.ALL, 10.0)
-ZONED = MessageClass("zoned", 2.0, 2.0, 20.0, 0.5, Effect.KEYED, Group.ZONE, 10.0)
-UNSAFE = MessageClass("unsafe", 4.0, 2.0, 20.0, 0.5, Effect.UNSAFE, Group.ALL, 10.0)  # no memory helps it
-ORDERED = MessageClass("ordered", 1.0, 2.0, 20.0, 0.5, Effect.SAFE, in_order=True)
+SAFE = MessageClass("safe", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE)
+KEYED = MessageClass("keyed", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ALL, 10.0)
+ZONED = MessageClass("zoned", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ZONE, 10.0)
+UNSAFE = MessageClass("unsafe", 4.0, 2.0, 20.0, 0.5, Idempotency.UNSAFE, DedupScope.ALL, 10.0)  # no memory helps it
+ORDERED = MessageClass("ordered", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE, in_order=True)
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 
 
 def settings(**changes):
     base = {
         "classes": CLASSES,
-        "kinds": (Kind("one"), Kind("batch", 20), Kind("apart", 1, True)),
+        "kinds": (DestinationKind("one"), DestinationKind("batch", 20), DestinationKind("apart", 1, True)),
         "slots": 8,
         "holding_room": 100,
         "max_attempts": 8,
         "senders": 2,
-        "max_come_back_s": 2.0,
+        "max_retry_after_s": 2.0,
         "rules": Rules(cold_share=0.2, cold_s=10.0, key_quiet_s=0.5),
     }
     return Settings(**{**base, **changes})
@@ -87,14 +87,14 @@
             out = self.step(Timer(1), after=0.05)
             for send in sends(out) or self.waiting():
                 self.step(self.ended(send, outcome))
-            if self.control.book.routes[1].failing:
+            if self.control.store.routes[1].failing:
                 return
         raise AssertionError("never judged failing")
 
     def waiting(self):
         """Sends without outcome, as read from the module's own record."""
         found = []
-        for job in self.control.book.jobs.values():
+        for job in self.control.store.jobs.values():
             for number, (call, ran) in enumerate(job.attempts):
                 if ran.name == "OUTSTANDING":
                     self.tries[job.ref] = number
--- a/tests/keeping.py
+++ b/tests/keeping.py
@@ -9,14 +9,14 @@
 
 from willownotch.bodies.settings import BodiesSettings
 from willownotch.files.layer import REAL
-from willownotch.interface import Effect, MessageClass
+from willownotch.interface import Idempotency, MessageClass
 from willownotch.journal.records import Ended, Opened, Taken
 from willownotch.net.folder import open_folder
 
 CLASSES = (
-    MessageClass("status", 1.0, 2.5, 28.0, 0.4, Effect.SAFE),
-    MessageClass("order", 1.0, 2.5, 16.0, 0.3, Effect.KEYED),
-    MessageClass("fee", 3.0, 2.0, 20.0, 0.3, Effect.UNSAFE, in_order=True),
+    MessageClass("status", 1.0, 2.5, 28.0, 0.4, Idempotency.SAFE),
+    MessageClass("order", 1.0, 2.5, 16.0, 0.3, Idempotency.KEYED),
+    MessageClass("fee", 3.0, 2.0, 20.0, 0.3, Idempotency.UNSAFE, in_order=True),
 )
 PATIENCE = timedelta(milliseconds=200)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -58,8 +58,8 @@
     steps = wire.send(*BORN, REQ)
     assert steps[0][:4] == ["issue", 3, "ab", 7]
     wire.send(["done", 3, "ab", 0, 7, "GOOD", 0.1, True, None, {"x0": 0.5, "x1": 4.0}], now=1.1)
-    assert wire.adapter.instances[3].book.jobs == {}
-    assert wire.adapter.instances[3].book.routes[7].unit.told_limit == 4.0
+    assert wire.adapter.instances[3].store.jobs == {}
+    assert wire.adapter.instances[3].store.routes[7].unit.told_limit == 4.0
     assert wire.complaints() == []
 
 
@@ -127,7 +127,7 @@
     wire.send(
         *BORN, ["list", 0, [[0, None, 8, 0, 1, "SERVING", 1]]], ["members", 3, 0, 2, "F"], ["list", 0, []]
     )
-    assert list(wire.adapter.instances[3].book.routes) == [8]
+    assert list(wire.adapter.instances[3].store.routes) == [8]
 
 
 def test_a_restart_in_one_batch_forgets_the_old_life():
@@ -135,7 +135,7 @@
     wire.send(*BORN, REQ)
     steps = wire.send(["done", 3, "ab", 0, 7, "FULL", 0.1, False, 900], ["stop", 3], *BORN)
     assert [s for s in steps if s[0] != "wakeMe"] == []
-    assert wire.adapter.instances[3].book.jobs == {}
+    assert wire.adapter.instances[3].store.jobs == {}
 
 
 def test_an_exception_in_the_module_is_a_crash_with_its_text(monkeypatch):
--- a/tests/test_bodies_plan.py
+++ b/tests/test_bodies_plan.py
@@ -17,7 +17,7 @@
     Verdict,
 )
 from willownotch.bodies.settings import BodiesSettings, for_class
-from willownotch.interface import Effect
+from willownotch.interface import Idempotency
 
 LIMITS = Limits(
     memory=1000,
@@ -28,7 +28,7 @@
     inline=100,
     inline_low=10,
 )
-EFFECTS = {"status": Effect.SAFE, "order": Effect.KEYED, "fee": Effect.UNSAFE}
+EFFECTS = {"status": Idempotency.SAFE, "order": Idempotency.KEYED, "fee": Idempotency.UNSAFE}
 WORTH = {"status": 1.0, "order": 1.0, "fee": 3.0}
 PLANS = {  # shares: none for status, a fifth for each of the others
     name: plan.ClassPlan(name, WORTH[name], effect, for_class(BodiesSettings(), name, effect))
@@ -123,11 +123,11 @@
         "news": plan.ClassPlan(
             "news",
             1.0,
-            Effect.SAFE,
+            Idempotency.SAFE,
             plan.ClassBodies(
                 share=0.2,
-                at_limit=for_class(settings, "x", Effect.SAFE).at_limit,
-                drop=for_class(settings, "x", Effect.SAFE).drop,
+                at_limit=for_class(settings, "x", Idempotency.SAFE).at_limit,
+                drop=for_class(settings, "x", Idempotency.SAFE).drop,
             ),
         ),
     }
@@ -240,12 +240,12 @@
 @pytest.mark.parametrize(
     ("effect", "ran", "word"),
     [
-        (Effect.SAFE, False, "handed_back"),
-        (Effect.SAFE, True, "handed_back"),
-        (Effect.KEYED, False, "handed_back"),
-        (Effect.KEYED, True, "given_up"),
-        (Effect.UNSAFE, False, "given_up"),
-        (Effect.UNSAFE, True, "given_up"),
+        (Idempotency.SAFE, False, "handed_back"),
+        (Idempotency.SAFE, True, "handed_back"),
+        (Idempotency.KEYED, False, "handed_back"),
+        (Idempotency.KEYED, True, "given_up"),
+        (Idempotency.UNSAFE, False, "given_up"),
+        (Idempotency.UNSAFE, True, "given_up"),
     ],
 )
 def test_how_a_message_without_a_body_ends(effect, ran, word):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -16,7 +16,7 @@
             sender.serve(1, dest=dest)
         lost = sends(sender.step(sender.message(UNSAFE, dest=1), after=3.0))[0]
         sender.step(sender.ended(lost, Outcome.TIMED_OUT), after=0.1)
-        route = sender.control.book.routes[1]
+        route = sender.control.store.routes[1]
         route.idle_at = -100.0  # what was kept is closed by now: the next connection is a new one
         new = sends(sender.step(sender.message(UNSAFE, dest=1), after=0.5))[0]
         sender.step(sender.ended(new, fresh, took=1.5), after=1.5)
@@ -39,7 +39,7 @@
             for _ in range(12):
                 sent = sends(sender.step(sender.message(), after=2.0))
                 told = {"room_left": room, "limit_per_s": limit}
-                refusals = [sender.ended(s, Outcome.TURNED_AWAY, **told) for s in sent]
+                refusals = [sender.ended(s, Outcome.REJECTED, **told) for s in sent]
                 sender.step(*refusals, after=0.1)
             with self.subTest(limit=limit, room=room):
-                self.assertEqual(sender.control.book.routes[1].failing, failing)
+                self.assertEqual(sender.control.store.routes[1].failing, failing)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -484,7 +484,7 @@
     """A repeat was decided on inside a window of 1 s and begun after it."""
     rules = config().rules["order"]  # keyed
     now = calls.now()
-    table = [(rules.memory_s - 0.5, Outcome.DELIVERED), (rules.memory_s + 0.5, Outcome.NOT_SENT)]
+    table = [(rules.dedup_window_s - 0.5, Outcome.DELIVERED), (rules.dedup_window_s + 0.5, Outcome.NOT_SENT)]
     for ago, outcome in table:
         taken = Taken("a1", 7, "order", "acme", now + SPAN, rules=rules)
         entry = Entry(taken, 0, opened={0: Opened("a1", 0, now - timedelta(seconds=ago), "s-1")})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import SAFE, Sender, sends
 
-from willownotch.interface import Note, Outcome, Rules, Timer
+from willownotch.interface import PeerJudgement, Outcome, Rules, Timer
 from willownotch.net.clock import seconds
 from willownotch.net.registry import (
     AGAIN_BUSY,
@@ -117,7 +117,7 @@
     sender = Sender(senders=SENDERS, rules=RULES)
     sender.serve(30)
     sender.fail(outcome)
-    route = sender.control.book.routes[1]
+    route = sender.control.store.routes[1]
     tried, began, answered = sender.now, sender.now, None
     while answered is None:
         for sent in sends(sender.step(Timer(1), sender.message(), after=0.05)):
@@ -135,12 +135,12 @@
     """Without a failure of its own a sender dated the return at the beginning of time, and had no ramp."""
     sender = Sender(senders=SENDERS, rules=RULES, may_tell=True)
     sender.serve(30)
-    sender.step(Note(1, works=False), after=3.0)
+    sender.step(PeerJudgement(1, works=False), after=3.0)
     out = []
     while not out:
         out = sends(sender.step(Timer(1), sender.message(), after=0.05))
     sender.step(sender.ended(out[0], Outcome.DELIVERED))
-    assert sender.control.book.routes[1].back_at == sender.now
+    assert sender.control.store.routes[1].back_at == sender.now
 
 
 def watches_again(senders, seed, each=0.135, patience=2.0):
@@ -201,7 +201,7 @@
         self.left = max(0.0, self.left - 1.0)
         self.delivered, self.refused = self.delivered + took, self.refused + (not took)
         told = {"limit_per_s": self.limit, "room_left": self.left / self.limit}
-        return (Outcome.DELIVERED if took else Outcome.TURNED_AWAY), told
+        return (Outcome.DELIVERED if took else Outcome.REJECTED), told
 
     def counted(self):
         counts = self.delivered, self.refused
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import Sender, sends
 
-from willownotch.interface import Endpoint, EndpointList, Outcome, Readiness, Retuned, Timer
+from willownotch.interface import Endpoint, EndpointList, Outcome, Readiness, SettingsChanged, Timer
 from willownotch.net.config import ListedEndpoint, ListNews
 from willownotch.net.registry import Hosts
 
@@ -56,7 +56,7 @@
 def module_steps(size, **changes):
     """Entries walked over by each step of a module with so many endpoints, one a destination."""
     sender, counts = Sender([(n, n, 0, 0) for n in range(size)], **changes), []
-    watch(sender.control.book, counts)
+    watch(sender.control.store, counts)
 
     def news(readiness):
         return EndpointList((Endpoint(5, 5, 0, 0, readiness, rate=3.0),), False)
@@ -68,17 +68,17 @@
         while outcome is Outcome.DELIVERED and more:  # what was held, too: a call that is out keeps its route
             more = sends(sender.step(*[sender.ended(call, outcome) for call in more], after=0.1))
 
-    found, route = {}, sender.control.book.routes[5]
+    found, route = {}, sender.control.store.routes[5]
     found["drained"] = walked_by(counts, lambda: sender.step(news(Readiness.DRAINING), after=1.0))
     found["back"] = walked_by(counts, lambda: sender.step(news(Readiness.SERVING), after=1.0))
-    found["a told wait"] = walked_by(counts, lambda: play(Outcome.TURNED_AWAY, wait=4.0))
+    found["a told wait"] = walked_by(counts, lambda: play(Outcome.REJECTED, wait=4.0))
     assert route.back_at is not None
     found["failures"] = walked_by(counts, lambda: [play(Outcome.UNREACHABLE) for _ in range(2)])
     assert route.failing
     found["a return"] = walked_by(counts, lambda: play(Outcome.DELIVERED))
     assert not route.failing
     found["gone"] = walked_by(counts, lambda: sender.step(news(Readiness.GONE), after=1.0))
-    assert len(sender.control.book.routes) == size - 1
+    assert len(sender.control.store.routes) == size - 1
     found["new"] = walked_by(counts, lambda: sender.step(news(Readiness.SERVING), after=1.0))
     return found
 
@@ -160,7 +160,7 @@
     sender = Sender([(1, 1, 0, 0), (2, 2, 0, 0)])
     out = sends(sender.step(sender.message(dest=1)))
     sender.step(sender.listed([(1, 2, 0, 0)], whole=False), after=0.1)
-    book = sender.control.book
+    book = sender.control.store
     assert {n: sorted(d.routes) for n, d in book.destinations.items()} == {1: [], 2: [1, 2]}
     sender.step(sender.ended(out[0], Outcome.DELIVERED), after=0.1)
     assert book.slots_used == 0
@@ -174,7 +174,7 @@
     sender = Sender([(1, 1, 0, 0), (2, 2, 0, 0)])
     out = sends(sender.step(sender.message(dest=1)))
     sender.step(sender.listed([(2, 2, 0, 0)]), after=0.1)  # a whole list without it
-    book = sender.control.book
+    book = sender.control.store
     assert sorted(book.routes) == [1, 2]
     sender.step(sender.ended(out[0], Outcome.DELIVERED), after=0.1)
     sender.step(EndpointList((), False), after=0.1)
@@ -185,7 +185,7 @@
     """Also those of entries that no news names again."""
     sender = Sender([(1, 1, 0, 0)])
     sender.step(EndpointList((Endpoint(1, 1, 0, 0, rate=30.0),), False))
-    unit = sender.control.book.routes[1].unit
+    unit = sender.control.store.routes[1].unit
     assert unit.told_limit == 0.0
-    sender.step(Retuned(replace(sender.settings, listed_rates=True)))
+    sender.step(SettingsChanged(replace(sender.settings, listed_rates=True)))
     assert unit.told_limit == 30.0
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -6,7 +6,7 @@
 from helpers import CLASSES, SAFE, UNSAFE, Sender, sends
 
 from willownotch import concurrency_limit
-from willownotch.interface import CallOff, Decay, Message, MessageClass, Outcome
+from willownotch.interface import CancelAttempt, Decay, Message, MessageClass, Outcome
 from willownotch.state import Unit, follow, job_of
 
 
@@ -124,7 +124,7 @@
 def test_priority_is_worth_on_the_range_plus_a_seeded_fraction():
     sender = Sender(slots=1)
     sender.step(sender.message(SAFE), sender.message(UNSAFE))
-    low, high = sender.control.book.jobs["m1"].priority, sender.control.book.jobs["m2"].priority
+    low, high = sender.control.store.jobs["m1"].priority, sender.control.store.jobs["m2"].priority
     assert 63.75 <= low < 64.75
     assert 255.0 <= high < 256.0
 
@@ -136,7 +136,7 @@
 
 def test_a_slow_destination_takes_half_of_the_slots():
     sender = Sender(slots=8)
-    u = sender.control.book.routes[1].unit
+    u = sender.control.store.routes[1].unit
     u.measured, u.expected, u.min_cost, u.max_rate = 2.0, 1.0, 10.0, 10.0
     assert len(sends(sender.step(*[sender.message() for _ in range(20)]))) == 4
 
@@ -144,7 +144,7 @@
 def test_several_sick_destinations_together_take_half_of_the_slots():
     sender = Sender(rows=[(n, n, 0, 0) for n in (1, 2, 3)], slots=8)
     for n in (1, 2):
-        u = sender.control.book.routes[n].unit
+        u = sender.control.store.routes[n].unit
         u.measured, u.expected, u.min_cost, u.max_rate = 2.0, 1.0, 10.0, 10.0
     out = sender.step(*[sender.message(dest=d) for d in (1, 2) for _ in range(6)])
     assert len(sends(out)) == 4
@@ -160,7 +160,7 @@
 
 
 def test_worth_falls_as_the_settings_say():
-    cls = MessageClass("c", 4.0, 2.0, 12.0, 0.3, SAFE.effect)
+    cls = MessageClass("c", 4.0, 2.0, 12.0, 0.3, SAFE.idempotency)
     made = job_of(Message("x", 1, 0, 12.0), cls, 0.0, True)
     made.worth = 4.0
     assert made.worth_at(2.0, Decay.EVEN) == 4.0
@@ -198,7 +198,7 @@
     while not off and sender.now < began + 2.0:
         answered = [s for s in sender.waiting() if s.endpoint == 1 and s.ref != stuck.ref]
         sender.step(*[sender.ended(s, Outcome.DELIVERED) for s in answered], after=0.1)
-        off = [a.ref for a in sender.tick() if isinstance(a, CallOff)]
+        off = [a.ref for a in sender.tick() if isinstance(a, CancelAttempt)]
     assert off == [stuck.ref]
     assert sender.now - began < 1.5
 
@@ -215,5 +215,5 @@
         answered = [s for s in sender.waiting() if s.endpoint != dead.endpoint]
         news = [sender.ended(s, Outcome.DELIVERED) for s in answered]
         sender.step(*news, *[sender.message(dest=dest) for dest in more], after=0.1)
-        off = [a.ref for a in sender.tick() if isinstance(a, CallOff)]
+        off = [a.ref for a in sender.tick() if isinstance(a, CancelAttempt)]
     assert off[0] == dead.ref and sender.now - began < 1.5 < sender.control.strange
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from willownotch import interface as face
-from willownotch.interface import Effect, Outcome, Readiness
+from willownotch import interface as api
+from willownotch.interface import Idempotency, Outcome, Readiness
 from willownotch.lab.model.baselines import POLICIES, Backoff, Plain
 from willownotch.lab.model.ledger import Item, Ledger
 from willownotch.lab.model.partners import COLD_S, Call, Endpoint, Limit, Partner, State
@@ -91,7 +91,7 @@
     world, made, endpoint = partner()
     assert ask(world, made, endpoint) == [Outcome.DELIVERED]
     outcomes = ask(world, made, endpoint, 100)
-    assert outcomes.count(Outcome.TURNED_AWAY) == 100 - 5 * endpoint.workers
+    assert outcomes.count(Outcome.REJECTED) == 100 - 5 * endpoint.workers
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
         (State.SILENT, []),
         (State.HANGS, []),
         (State.GONE, [Outcome.UNREACHABLE]),
-        (State.SHUT, [Outcome.TURNED_AWAY]),
+        (State.SHUT, [Outcome.REJECTED]),
     ],
 )
 def test_how_an_endpoint_treats_a_call(state, wanted):
@@ -167,7 +167,7 @@
 
 # Worth and rules
 
-ORDER = face.MessageClass("order", 1.0, 2.0, 10.0, 0.4, Effect.KEYED, memory_s=5.0)
+ORDER = api.MessageClass("order", 1.0, 2.0, 10.0, 0.4, Idempotency.KEYED, dedup_window_s=5.0)
 
 
 @pytest.mark.parametrize(("took", "share"), [(0.0, 1.0), (2.0, 1.0), (6.0, 0.7), (10.0, 0.4), (10.001, 0.0)])
@@ -190,7 +190,7 @@
 
     def _list(self, event):
         entries = tuple(e for e in event.entries if e.readiness is Readiness.SERVING)
-        super()._list(face.EndpointList(entries, False))
+        super()._list(api.EndpointList(entries, False))
 
 
 class Repeats(Bad):
@@ -228,7 +228,7 @@
     """Answers again."""
 
     def _give_up(self, job):
-        self.out.append(face.Fail(job.message.ref))
+        self.out.append(api.Fail(job.message.ref))
         super()._give_up(job)
 
 
@@ -236,7 +236,7 @@
     """Says that a repeat does no harm."""
 
     def _give_up(self, job):
-        self.out.append(face.Refuse(job.message.ref, 0.1))
+        self.out.append(api.Refuse(job.message.ref, 0.1))
         self._forget(job)
 
 
@@ -252,8 +252,8 @@
         )
     },
     class_={
-        "fee": ModelClass(share=0.7, repeat=Effect.UNSAFE, in_order=Flag.YES, keys=8),
-        "order": ModelClass(share=0.3, repeat=Effect.KEYED, memory=S),
+        "fee": ModelClass(share=0.7, repeat=Idempotency.UNSAFE, in_order=Flag.YES, keys=8),
+        "order": ModelClass(share=0.3, repeat=Idempotency.KEYED, memory=S),
     },
     trouble={
         "a": TroubleBlock(kind=Trouble.HANG, at=4 * S, for_=6 * S, share=0.6),
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -138,8 +138,8 @@
         table = [
             (200, {}, Outcome.DELIVERED, True, False, 0),
             (500, {}, Outcome.ERROR, False, False, 0),
-            (429, {"retry-after": "0.75"}, Outcome.TURNED_AWAY, False, False, 0.75),
-            (503, {}, Outcome.TURNED_AWAY, False, False, 0),
+            (429, {"retry-after": "0.75"}, Outcome.REJECTED, False, False, 0.75),
+            (503, {}, Outcome.REJECTED, False, False, 0),
             (503, {"x-line-busy": "1"}, Outcome.NOT_SENT, False, True, 0),
             (504, {}, Outcome.NOT_SENT, False, False, 0),
             (410, {}, Outcome.NOT_SENT, True, False, 0),
@@ -215,7 +215,7 @@
     def test_a_message_is_read(self):
         taken = self.read(**{"client-retry": "again", "idempotency-key": "i"})
         self.assertEqual(
-            (taken.ref, taken.destination, taken.key, taken.again, taken.idempotency_key),
+            (taken.ref, taken.destination, taken.key, taken.is_retry, taken.idempotency_key),
             ("a1", 7, "k k", True, "i"),
         )
         self.assertEqual(taken.ends_at - ENDS, timedelta(milliseconds=480))
@@ -561,7 +561,7 @@
         table = [
             (b"a1 delivered\r\n", (Outcome.DELIVERED, True)),
             (b"a1 failed\n", (Outcome.ERROR, False)),
-            (b"a1 refused\r\n", (Outcome.TURNED_AWAY, False)),
+            (b"a1 refused\r\n", (Outcome.REJECTED, False)),
             (b"a1 over\r\n", (Outcome.NOT_SENT, True)),
             (b"a1 spent\r\n", (Outcome.NOT_SENT, False)),
             (b"", (Outcome.ERROR, False)),
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from willownotch.interface import Send, Wake
+from willownotch.interface import Send, SetTimer
 
 README = Path(__file__).parent.parent / "README.md"
 
@@ -13,6 +13,6 @@
     first = code.replace("actions = controller.handle(0.02", "later = controller.handle(0.02")
     names = {}
     exec(first, names)
-    assert [type(a) for a in names["actions"]] == [Send, Wake]
+    assert [type(a) for a in names["actions"]] == [Send, SetTimer]
     assert (names["actions"][0].ref, names["actions"][0].endpoint) == ("a1", 7)
     assert names["later"] == []  # a call is out and its time has not come: nothing to do
--- a/tests/test_restarted.py
+++ b/tests/test_restarted.py
@@ -14,7 +14,7 @@
     def recovered(self, cls, past, **more):
         sender = Sender(**more)
         message = sender.message(cls, key="k" if cls is ORDERED else None)
-        values = {name: getattr(message, name) for name in message.__slots__} | {"past": past, "again": True}
+        values = {name: getattr(message, name) for name in message.__slots__} | {"past": past, "is_retry": True}
         sender.tries[message.ref] = len(past) - 1
         return sender, type(message)(**values)
 
@@ -59,8 +59,8 @@
         sender, message = self.recovered(SAFE, (PastAttempt(1, 1.0, False),) * 2)
         sent = sends(sender.step(message))[0]
         sender.step(sender.ended(sent, Outcome.DELIVERED))
-        self.assertEqual(sender.control.book.jobs, {})
-        self.assertEqual(sender.control.book.slots_used, 0)
+        self.assertEqual(sender.control.store.jobs, {})
+        self.assertEqual(sender.control.store.slots_used, 0)
 
     def test_a_key_rests_after_a_restart_for_what_may_still_run(self):
         sender, message = self.recovered(ORDERED, (PastAttempt(1, 0.2, True),), max_attempts=1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,8 +6,8 @@
 from willownotch.interface import Fail, Outcome, Refuse, Send, Timer, Withdrawn
 from willownotch.slow_start import SPARE
 
-MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CALLED_OFF]
-NEVER_RAN = [Outcome.TURNED_AWAY, Outcome.UNREACHABLE, Outcome.NOT_SENT]
+MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED]
+NEVER_RAN = [Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT]
 
 
 def retried(sender, outcome, cls, wait=3.0):
@@ -30,7 +30,7 @@
         seen = answers(sender.tick())
     assert isinstance(seen[0], Refuse)
     assert 0.9 < sender.now < 1.0
-    assert sender.control.book.jobs == {}
+    assert sender.control.store.jobs == {}
 
 
 def test_time_outs_never_pass_the_time_left():
@@ -54,11 +54,11 @@
     message = sender.message()
     sent = sends(sender.step(message))[0]
     sender.step(Withdrawn(message.ref))
-    out = sender.step(sender.ended(sent, Outcome.TURNED_AWAY), after=0.1)
+    out = sender.step(sender.ended(sent, Outcome.REJECTED), after=0.1)
     for _ in range(200):
         out += sender.tick()
     assert sends(out) == [] and answers(out) == []
-    assert sender.control.book.jobs == {} and sender.control.book.slots_used == 0
+    assert sender.control.store.jobs == {} and sender.control.store.slots_used == 0
 
 
 # 2. No effect twice
@@ -141,7 +141,7 @@
     sender = Sender()
     sender.serve(40)
     sender.fail()
-    usual = sender.control.book.routes[1].unit.mean_rate
+    usual = sender.control.store.routes[1].unit.mean_rate
     start, trials = sender.now, 0
     sender.step(*[sender.message() for _ in range(30)])
     while sender.now < start + 10.0:
@@ -154,7 +154,7 @@
 def test_a_returning_route_ramps_from_its_cold_share():
     sender = Sender()
     sender.serve(60, gap=0.1)
-    usual = sender.control.book.routes[1].unit.mean_rate
+    usual = sender.control.store.routes[1].unit.mean_rate
     sender.fail()
     start = sender.now
     while sender.now < start + 4.0:  # long enough out to be cold
@@ -183,7 +183,7 @@
         sender = Sender(seed=seed)
         sender.serve(20)
         sent = sends(sender.step(sender.message(), after=0.1))[0]
-        sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=6.0), *[sender.message() for _ in range(5)])
+        sender.step(sender.ended(sent, Outcome.REJECTED, wait=6.0), *[sender.message() for _ in range(5)])
         opens, sent_at = sender.now + 6.0, []
         while sender.now < opens + 2.0:
             for sent in sends(sender.tick()):
@@ -202,23 +202,23 @@
     sent, refused = sends(sender.step(sender.message())), 0
     while refused < 3 and sender.now < 60.0:
         refused += len(sent)
-        sender.step(*[sender.ended(s, Outcome.TURNED_AWAY) for s in sent], after=0.1)
+        sender.step(*[sender.ended(s, Outcome.REJECTED) for s in sent], after=0.1)
         sent = sends(sender.step(sender.message(), after=4.0))
-    assert sender.control.book.routes[1].failing
+    assert sender.control.store.routes[1].failing
     at_a_limit = Sender(senders=200)
     for n in range(8):
         sent = sends(at_a_limit.step(at_a_limit.message(), after=60.0))
         assert sent
-        outcome = Outcome.TURNED_AWAY if n % 2 else Outcome.DELIVERED
+        outcome = Outcome.REJECTED if n % 2 else Outcome.DELIVERED
         at_a_limit.step(*[at_a_limit.ended(s, outcome) for s in sent], after=0.1)
-    assert not at_a_limit.control.book.routes[1].failing
+    assert not at_a_limit.control.store.routes[1].failing
 
 
 def test_no_full_calls_go_to_what_is_cold():
     """retira-sul-main h27066a: a call of many held messages weighs several times a lone one."""
     sender = Sender(rows=[(1, 1, 1, 0)])
     sent = sends(sender.step(sender.message()))[0]
-    sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=3.0), *[sender.message() for _ in range(9)])
+    sender.step(sender.ended(sent, Outcome.REJECTED, wait=3.0), *[sender.message() for _ in range(9)])
     opens = sender.now + 3.0
     while sender.now < opens + 5.0:
         out = sends(sender.tick())
@@ -245,18 +245,18 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, unread",
+    "outcome, unreadable",
     [
         (Outcome.TIMED_OUT, False),
         (Outcome.BROKEN, False),
-        (Outcome.CALLED_OFF, False),
+        (Outcome.CANCELLED, False),
         (Outcome.ERROR, True),
     ],
 )
-def test_a_key_stays_quiet_after_an_attempt_that_may_still_run(outcome, unread):
+def test_a_key_stays_quiet_after_an_attempt_that_may_still_run(outcome, unreadable):
     sender = Sender(max_attempts=1)
     sent = sends(sender.step(sender.message(ORDERED, key="k")))[0]
-    ended = sender.ended(sent, outcome, unread=unread)
+    ended = sender.ended(sent, outcome, unreadable=unreadable)
     out = sender.step(ended, sender.message(ORDERED, key="k"), after=1.0)
     assert len(answers(out)) == 1
     told = sender.now
@@ -291,7 +291,7 @@
     sender = Sender(rows=[(1, 1, 0, 0), (2, 1, 0, 0)])
     sender.serve(40, gap=0.05)  # so that its pace alone would send again within the wait
     sent = sends(sender.step(sender.message(), after=0.1))[0]
-    sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=0.8))
+    sender.step(sender.ended(sent, Outcome.REJECTED, wait=0.8))
     told = sender.now
     first = min(t for t, _ in send_times(sender, told + 3.0))
     assert told + 0.8 <= first < told + 1.0
@@ -300,7 +300,7 @@
 def test_a_told_wait_holds_for_one_route_where_routes_are_apart():
     sender = Sender(rows=[(1, 1, 2, 0), (2, 1, 2, 0)])
     sent = sends(sender.step(sender.message()))[0]
-    sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=0.8))
+    sender.step(sender.ended(sent, Outcome.REJECTED, wait=0.8))
     times = send_times(sender, 3.0)
     assert min(t for t, e in times if e == sent.endpoint) >= 0.8
     assert min(t for t, e in times if e != sent.endpoint) < 0.1
@@ -310,8 +310,8 @@
     sender = Sender(rows=[(1, 1, 1, 0)])
     sent = sends(sender.step(sender.message(), sender.message()))
     sender.step(
-        sender.ended(sent[0], Outcome.TURNED_AWAY, wait=0.2),
-        sender.ended(sent[1], Outcome.TURNED_AWAY, wait=0.9),
+        sender.ended(sent[0], Outcome.REJECTED, wait=0.2),
+        sender.ended(sent[1], Outcome.REJECTED, wait=0.9),
     )
     assert min(t for t, _ in send_times(sender, 3.0)) >= 0.9
 
@@ -319,19 +319,19 @@
 def test_what_a_destination_told_outlives_its_endpoints():
     sender = Sender(rows=[(1, 1, 0, 0)])
     sent = sends(sender.step(sender.message()))[0]
-    sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=0.8))
+    sender.step(sender.ended(sent, Outcome.REJECTED, wait=0.8))
     sender.step(sender.listed([]), after=0.05)
     sender.step(sender.listed([]), at=0.9)
-    unit = sender.control.book.destinations[1].unit
+    unit = sender.control.store.destinations[1].unit
     sender.step(sender.listed([(2, 1, 0, 0)]), after=0.05)
-    assert sender.control.book.routes[2].unit is unit
+    assert sender.control.store.routes[2].unit is unit
     assert min(t for t, _ in send_times(sender, 3.0)) >= 0.8
 
 
 def test_a_route_listed_again_still_waits():
     sender = Sender(rows=[(1, 1, 2, 0)])
     sent = sends(sender.step(sender.message()))[0]
-    sender.step(sender.ended(sent, Outcome.TURNED_AWAY, wait=0.8))
+    sender.step(sender.ended(sent, Outcome.REJECTED, wait=0.8))
     sender.step(sender.listed([]), after=0.05)
     sender.step(sender.listed([(1, 1, 2, 0)]), after=0.05)
     assert min(t for t, _ in send_times(sender, 3.0)) >= 0.8
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 
 from willownotch.blocks import Blocks
 from willownotch.bodies.settings import AtLimit, BodiesSettings, ClassBodies, for_class
-from willownotch.interface import Effect
+from willownotch.interface import Idempotency
 from willownotch.settings.reader import SettingsError, read
 from willownotch.settings.types import Flag
 
@@ -93,10 +93,10 @@
 def test_what_a_class_does_follows_from_its_repeats_unless_it_is_set():
     settings = BodiesSettings(class_={"a": ClassBodies(drop=Flag.NO, share=0.3)})
     table = [
-        ("a", Effect.SAFE, (0.3, AtLimit.ONE_TRY, Flag.NO)),
-        ("b", Effect.SAFE, (0.0, AtLimit.ONE_TRY, Flag.YES)),
-        ("b", Effect.KEYED, (0.2, AtLimit.REFUSE, Flag.NO)),
-        ("b", Effect.UNSAFE, (0.2, AtLimit.REFUSE, Flag.NO)),
+        ("a", Idempotency.SAFE, (0.3, AtLimit.ONE_TRY, Flag.NO)),
+        ("b", Idempotency.SAFE, (0.0, AtLimit.ONE_TRY, Flag.YES)),
+        ("b", Idempotency.KEYED, (0.2, AtLimit.REFUSE, Flag.NO)),
+        ("b", Idempotency.UNSAFE, (0.2, AtLimit.REFUSE, Flag.NO)),
     ]
     for name, effect, wanted in table:
         own = for_class(settings, name, effect)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -11,10 +11,10 @@
 
 from willownotch.control import Controller
 from willownotch.interface import (
-    Effect,
+    Idempotency,
     Endpoint,
     EndpointList,
-    Kind,
+    DestinationKind,
     Message,
     MessageClass,
     Refuse,
@@ -343,13 +343,13 @@
 
 
 def test_the_module_turns_away_what_is_above_a_hard_part_and_says_when_to_come_again():
-    order = MessageClass("order", 1.0, 2.0, 10.0, 0.3, Effect.SAFE)
-    asked = Settings((order,), (Kind("k"),), 50, 100, (Tenant("acme", 10.0),), max_come_back_s=5.0)
+    order = MessageClass("order", 1.0, 2.0, 10.0, 0.3, Idempotency.SAFE)
+    asked = Settings((order,), (DestinationKind("k"),), 50, 100, (Tenant("acme", 10.0),), max_retry_after_s=5.0)
     for hard in (False, True):
         control = Controller(asked, 1)
         control.handle(0.0, [EndpointList((Endpoint(1, 7, 0, 0),), True), TenantPart(0, 0.25, hard)])
         out = control.handle(0.1, [Message(f"m{n}", 7, 0, 10.0) for n in range(20)])
         back = [a for a in out if isinstance(a, Refuse)]
         assert len(back) == (15 if hard else 0)  # 2 s of 2.5 a second may come at once
-        assert all(a.come_back_s == pytest.approx(0.4) for a in back)
+        assert all(a.retry_after_s == pytest.approx(0.4) for a in back)
         assert [a for a in out if isinstance(a, Send)]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,13 +13,13 @@
 from willownotch.interface import (
     Endpoint,
     EndpointList,
-    Note,
+    PeerJudgement,
     Outcome,
-    Remembered,
+    SlowStartRecords,
     Rules,
     SlowStartRecord,
     Timer,
-    Wake,
+    SetTimer,
 )
 from willownotch.net.clock import Clock
 from willownotch.net.log import Log
@@ -31,7 +31,7 @@
 
 
 def slow_start(sender, number=1):
-    return sender.control.book.routes[number].slow_start
+    return sender.control.store.routes[number].slow_start
 
 
 def listed(*numbers, whole=True):
@@ -65,7 +65,7 @@
     """All senders did so together, each at a date of its own: 253 calls in a second that took 132."""
     sender = Sender(slots=40, holding_room=1000)
     sender.serve(40)
-    usual = sender.control.book.routes[1].unit.mean_rate
+    usual = sender.control.store.routes[1].unit.mean_rate
     sender.fail()
     out_for(sender, 6.0)
     sender.step(*[sender.message(SAFE) for _ in range(300)])
@@ -102,15 +102,15 @@
     while not out:
         out = sends(sender.step(Timer(1), after=0.05))
     slow_start(sender).unreachable_at = inf
-    for call in list(sender.control.book.routes[1].calls):
+    for call in list(sender.control.store.routes[1].calls):
         call.idle_s = None  # on a new connection
     sender.step(sender.ended(out[0], outcome))
     assert slow_start(sender).state is State.FAILING
-    sender.control.book.routes[1].last_ok = sender.now  # another call's answer, just before
+    sender.control.store.routes[1].last_ok = sender.now  # another call's answer, just before
     out = []
     while not out:
         out = sends(sender.step(Timer(1), after=0.05))
-        sender.control.book.routes[1].last_ok = sender.now
+        sender.control.store.routes[1].last_ok = sender.now
     sender.step(sender.ended(out[0], Outcome.DELIVERED))
     assert slow_start(sender).state is State.RECOVERING
 
@@ -123,7 +123,7 @@
     out_for(sender, 6.0)
     sender.step(*[sender.message(SAFE) for _ in range(30)])
     answered(sender, 2.0)
-    route, out = sender.control.book.routes[1], []
+    route, out = sender.control.store.routes[1], []
     while not out:
         out = sends(sender.step(Timer(1), after=0.05))
     for call in list(route.calls):
@@ -190,7 +190,7 @@
     sender.serve(20)
     sent = sends(sender.step(sender.message(SAFE), after=0.1))
     while sender.now < 15.0 and slow_start(sender).state is State.HEALTHY:
-        out = sender.step(*[sender.ended(s, Outcome.TURNED_AWAY) for s in sent], Timer(1), after=0.2)
+        out = sender.step(*[sender.ended(s, Outcome.REJECTED) for s in sent], Timer(1), after=0.2)
         sent = sends(out)
     assert slow_start(sender).state is State.FAILING
     assert sender.now < 15.0
@@ -201,7 +201,7 @@
     sender.serve(20)
     sent = sends(sender.step(sender.message(SAFE), after=0.1))
     for _ in range(60):
-        ended = [sender.ended(s, Outcome.TURNED_AWAY, limit_per_s=5.0, room_left=0.0) for s in sent]
+        ended = [sender.ended(s, Outcome.REJECTED, limit_per_s=5.0, room_left=0.0) for s in sent]
         sent = sends(sender.step(*ended, Timer(1), after=0.2))
     assert slow_start(sender).state is State.HEALTHY
 
@@ -221,10 +221,10 @@
     """Each event before a near one asked for another timer, and each that rang asked again."""
     sender = Sender(slots=400, holding_room=1000)
     sender.step(sender.message(SAFE))
-    unit = sender.control.book.routes[1].unit
+    unit = sender.control.store.routes[1].unit
     unit.pace, unit.next_at = 80.0, 0.01
     sender.step(*[sender.message(SAFE) for _ in range(300)], after=0.001)
-    asked = [a for _ in range(10) for a in sender.step(Timer(1), after=0.0005) if isinstance(a, Wake)]
+    asked = [a for _ in range(10) for a in sender.step(Timer(1), after=0.0005) if isinstance(a, SetTimer)]
     assert len(asked) <= 1
 
 
@@ -238,35 +238,35 @@
 
 
 def test_a_process_goes_on_with_an_outage_that_the_one_before_had_met():
-    sender = restarted(Remembered((FAILING,), 0.0), listed(1))
+    sender = restarted(SlowStartRecords((FAILING,), 0.0), listed(1))
     assert slow_start(sender).state is State.FAILING
     assert sends(sender.step(*[sender.message(SAFE) for _ in range(10)])) == []
 
 
 def test_a_process_goes_on_with_a_slow_start():
     recovering = replace(FAILING, state="recovering", returned_at=-2.0, answered_at=-1.0, warm_at=9.0)
-    sender = restarted(Remembered((recovering,), 0.0), listed(1))
+    sender = restarted(SlowStartRecords((recovering,), 0.0), listed(1))
     times = answered(sender, 3.0, fresh=1)
     assert slow_start(sender).state is State.RECOVERING
     assert 1 <= len(times) <= 3 * 1.25 * 0.6 * 2.0 + 2
 
 
 @pytest.mark.parametrize(
-    "alive_at,state", [(None, State.RECOVERING), (-3.0, State.RECOVERING), (-1.0, State.HEALTHY)]
+    "saved_at,state", [(None, State.RECOVERING), (-3.0, State.RECOVERING), (-1.0, State.HEALTHY)]
 )
-def test_endpoints_that_nobody_watched_may_be_cold(alive_at, state):
-    sender = restarted(Remembered((), alive_at), listed(1))
+def test_endpoints_that_nobody_watched_may_be_cold(saved_at, state):
+    sender = restarted(SlowStartRecords((), saved_at), listed(1))
     assert slow_start(sender).state is state
 
 
 def test_an_endpoint_that_is_new_on_the_list_may_be_cold():
-    sender = restarted(Remembered((), -1.0), listed(1))
+    sender = restarted(SlowStartRecords((), -1.0), listed(1))
     sender.step(listed(2, whole=False), after=30.0)
     assert (slow_start(sender, 1).state, slow_start(sender, 2).state) == (State.HEALTHY, State.RECOVERING)
 
 
 def test_a_failed_call_ends_what_was_only_assumed():
-    sender = restarted(Remembered((), None), listed(1))
+    sender = restarted(SlowStartRecords((), None), listed(1))
     sent = sends(sender.step(sender.message(SAFE)))
     sender.step(sender.ended(sent[0], Outcome.UNREACHABLE))
     assert slow_start(sender).state is State.FAILING
@@ -281,10 +281,10 @@
 
 
 def test_what_is_healthy_is_not_recorded_and_what_is_assumed_only_as_unknown():
-    sender = restarted(Remembered((), None), listed(1))
-    assert sender.control.slow_starts() == Remembered((), None)
+    sender = restarted(SlowStartRecords((), None), listed(1))
+    assert sender.control.slow_starts() == SlowStartRecords((), None)
     sender.step(at=20.0)
-    assert sender.control.slow_starts() == Remembered((), 20.0)
+    assert sender.control.slow_starts() == SlowStartRecords((), 20.0)
 
 
 def test_a_state_comes_back_as_it_was_recorded():
@@ -302,8 +302,8 @@
 def test_a_note_starts_a_slow_start_of_its_own():
     sender = Sender(may_tell=True)
     sender.serve(5)
-    sender.step(Note(1, works=False), after=3.0)
-    sender.step(Note(1, works=True), after=1.0)
+    sender.step(PeerJudgement(1, works=False), after=3.0)
+    sender.step(PeerJudgement(1, works=True), after=1.0)
     assert slow_start(sender).state is State.RECOVERING
 
 
@@ -323,38 +323,38 @@
 
 def test_the_file_has_names_and_times_that_the_next_process_reads(tmp_path):
     clock = Clock()
-    kept_file(tmp_path, clock).write(Remembered((FAILING,), 0.0), {1: "s-one"}.get, clock.now())
+    kept_file(tmp_path, clock).write(SlowStartRecords((FAILING,), 0.0), {1: "s-one"}.get, clock.now())
     found = kept_file(tmp_path, clock).read({"s-one": 8}.get)
     assert found.records[0].endpoint == 8
     assert found.records[0].failing_since == pytest.approx(-6.0)
     assert found.records[0].unreachable_at == inf
-    assert found.alive_at == pytest.approx(clock.module_s(clock.now()), abs=1.0)
+    assert found.saved_at == pytest.approx(clock.module_s(clock.now()), abs=1.0)
 
 
 def test_times_of_another_boot_are_moved_and_those_after_now_mean_nothing(tmp_path):
     clock, later, earlier = Clock(), Stepped(), Stepped()
-    kept_file(tmp_path, clock).write(Remembered((FAILING,), 0.0), {1: "s-one"}.get, clock.now())
+    kept_file(tmp_path, clock).write(SlowStartRecords((FAILING,), 0.0), {1: "s-one"}.get, clock.now())
     later.step(60.0)
     assert kept_file(tmp_path, later).read(lambda name: 1).records[0].failing_since < -60.0
     earlier.step(-60.0)
-    assert kept_file(tmp_path, earlier).read(lambda name: 1) == Remembered((), None)
+    assert kept_file(tmp_path, earlier).read(lambda name: 1) == SlowStartRecords((), None)
 
 
 @pytest.mark.parametrize("data", [b"", b"\x93", b"nonsense", msgspec.msgpack.encode([1, 2, 3])])
 def test_a_file_that_cannot_be_read_leaves_everything_unknown(tmp_path, data):
     (tmp_path / NAME).write_bytes(data)
-    assert kept_file(tmp_path, Clock()).read(lambda name: 1) == Remembered((), None)
+    assert kept_file(tmp_path, Clock()).read(lambda name: 1) == SlowStartRecords((), None)
 
 
 def test_the_file_stays_small_and_says_that_it_is_not_complete(tmp_path):
     clock = Clock()
     many = tuple(replace(FAILING, endpoint=n) for n in range(3200))
-    kept_file(tmp_path, clock).write(Remembered(many, 0.0), lambda n: f"s-{n:08x}", clock.now())
+    kept_file(tmp_path, clock).write(SlowStartRecords(many, 0.0), lambda n: f"s-{n:08x}", clock.now())
     data = (tmp_path / NAME).read_bytes()
     assert len(data) <= BYTES_MOST
     kept = msgspec.msgpack.decode(data, type=Kept)
     assert len(kept.rows) >= 50 and not kept.complete
-    assert kept_file(tmp_path, clock).read(lambda name: 1).alive_at is None
+    assert kept_file(tmp_path, clock).read(lambda name: 1).saved_at is None
 
 
 def test_no_window_has_more_than_its_beginning_allows():
--- a/tests/test_slow_start_floor.py
+++ b/tests/test_slow_start_floor.py
@@ -16,7 +16,7 @@
 from toys import PATIENCE, Discovery, Host, until
 from toys import Sender as Process
 
-from willownotch.interface import Endpoint, EndpointList, Outcome, Remembered, Timer
+from willownotch.interface import Endpoint, EndpointList, Outcome, SlowStartRecords, Timer
 from willownotch.lab.recovery.case import Case, Outage, OutageKind, draw
 from willownotch.lab.recovery.play import play
 
@@ -48,13 +48,13 @@
         out = sender.step(*events, after=0.001)
         refused += len(answers(out))
         calls += [(sender.now + TOOK_S, sent) for sent in sends(out)]
-    return refused, len(late), len(sender.control.book.jobs)
+    return refused, len(late), len(sender.control.store.jobs)
 
 
 STARTS = {
-    "new, or back without its folder": Remembered((), None),
-    "back with its folder": Remembered((), -1.0),
-    "back with its folder after a while": Remembered((), -5.0),
+    "new, or back without its folder": SlowStartRecords((), None),
+    "back with its folder": SlowStartRecords((), -1.0),
+    "back with its folder after a while": SlowStartRecords((), -5.0),
 }
 
 
@@ -74,7 +74,7 @@
 def test_a_sound_endpoint_that_is_new_on_the_list_is_served_at_once(limit, senders):
     sender = Sender(rows=(), slots=6, holding_room=40, senders=senders, listed_rates=limit == "listed")
     rate = LIMIT if limit == "listed" else 0.0
-    sender.step(Remembered((), -1.0))
+    sender.step(SlowStartRecords((), -1.0))
     sender.step(listed(1, rate))
     sender.step(listed(2, rate), after=30.0)
     assert burst(sender, 2, limit == "told") == (0, 0, 0)
--- a/willownotch/adapter.py
+++ b/willownotch/adapter.py
@@ -18,11 +18,11 @@
 OUTCOMES = {
     "GOOD": i.Outcome.DELIVERED,
     "BAD": i.Outcome.ERROR,
-    "FULL": i.Outcome.TURNED_AWAY,
+    "FULL": i.Outcome.REJECTED,
     "LATE": i.Outcome.TIMED_OUT,
     "NOCONN": i.Outcome.UNREACHABLE,
     "RST": i.Outcome.BROKEN,
-    "CXL": i.Outcome.CALLED_OFF,
+    "CXL": i.Outcome.CANCELLED,
     "NOP": i.Outcome.NOT_SENT,
 }
 READINESS = {
@@ -65,11 +65,11 @@
         wanted_s=float(entry["promiseS"]),
         deadline_s=float(entry["hardLimitS"]),
         late_share=float(entry.get("lateShare") or 0.0),
-        effect=i.Effect(entry["idempotency"]),
-        group=i.Group(entry.get("group") or "all"),
-        memory_s=float(entry.get("memorySpanS") or 0.0),
+        idempotency=i.Idempotency(entry["idempotency"]),
+        dedup_scope=i.DedupScope(entry.get("group") or "all"),
+        dedup_window_s=float(entry.get("memorySpanS") or 0.0),
         in_order=bool(entry.get("oneAtATime")),
-        stretch=float(entry.get("aimStretch") or 0.0),
+        cost_hint_factor=float(entry.get("aimStretch") or 0.0),
     )
 
 
@@ -79,7 +79,7 @@
     rules, costs = conf["rules"], conf.get("costs") or {}
     batches, apart = family.get("kindBatch") or [], family.get("separateRoutes") or []
     kinds = tuple(
-        i.Kind(str(name), int(batches[n]) if n < len(batches) else 1, bool(n < len(apart) and apart[n]))
+        i.DestinationKind(str(name), int(batches[n]) if n < len(batches) else 1, bool(n < len(apart) and apart[n]))
         for n, name in enumerate(conf["models"])
     )
     return i.Settings(
@@ -98,14 +98,14 @@
         refusal_price=float(family.get("refusalCost") or 0.0),
         waste_price=float(costs.get("waste") or 0.0),
         handshake_price=float(costs.get("handshake") or 0.0),
-        max_come_back_s=float(limits.get("maxRetryAfterS") or 0.0) if limits.get("retryAfter") else 0.0,
+        max_retry_after_s=float(limits.get("maxRetryAfterS") or 0.0) if limits.get("retryAfter") else 0.0,
         keepalive_s=float(limits.get("keepaliveS") or inf),
         may_cancel=bool(limits.get("mayCancel")),
         may_probe=bool(limits.get("mayProbe")),
         may_tell=bool(limits.get("mayTell")),
         second_copies=bool(limits.get("secondCopies")),
         must_subscribe=conf.get("discovery") == "subscribe",
-        again_is_marked=bool((conf.get("callers") or {}).get("marksRetry")),
+        clients_mark_retries=bool((conf.get("callers") or {}).get("marksRetry")),
         listed_rates=conf.get("weightKind") in ("nominal", "rough"),
         rules=i.Rules(
             answer_grace_s=float(rules.get("graceToAnswerS") or 0.0),
@@ -147,7 +147,7 @@
         time_left_s=float(e[4]),
         key=e[5],
         cost_hint_s=float(e[6] or 0.0) if flags & 1 else 0.0,
-        again=bool(flags & 18),
+        is_retry=bool(flags & 18),
         destination=int(e[8]),
         message_class=int(e[9] or 0),
     )
@@ -165,7 +165,7 @@
         outcome=outcome,
         took_s=float(e[6] or 0.0),
         final=bool(len(e) > 7 and e[7]),
-        wait_s=note / 1000.0 if outcome is i.Outcome.TURNED_AWAY else 0.0,
+        wait_s=note / 1000.0 if outcome is i.Outcome.REJECTED else 0.0,
         no_slot=outcome is i.Outcome.NOT_SENT and note == 1,
         room_left=left,
         limit_per_s=limit,
@@ -178,12 +178,12 @@
     return i.ProbeEnded(int(e[2]), pick("outcome", OUTCOMES, e[3]), float(e[4] or 0.0), left, limit)
 
 
-def read_note(e: list[Any]) -> i.Note:
+def read_note(e: list[Any]) -> i.PeerJudgement:
     """A note: four bytes with the number of an endpoint, one that says whether it works."""
     payload = bytes.fromhex(e[3])
     if len(payload) != 5 or payload[4] > 1:
         raise MalformedError(f"unknown note {e[3]!r}")
-    return i.Note(int.from_bytes(payload[:4], "big"), bool(payload[4]))
+    return i.PeerJudgement(int.from_bytes(payload[:4], "big"), bool(payload[4]))
 
 
 READERS: dict[str, Callable[[list[Any]], i.Event]] = {
@@ -198,13 +198,13 @@
 
 WRITERS: dict[type, Callable[[int, Any], list[Any]]] = {
     i.Send: lambda n, a: ["issue", n, a.ref, a.endpoint, a.time_out_s],
-    i.Refuse: lambda n, a: ["refuse", n, a.ref, a.come_back_s],
+    i.Refuse: lambda n, a: ["refuse", n, a.ref, a.retry_after_s],
     i.Fail: lambda n, a: ["lose", n, a.ref],
-    i.CallOff: lambda n, a: ["abortAttempt", n, a.ref, a.attempt],
+    i.CancelAttempt: lambda n, a: ["abortAttempt", n, a.ref, a.attempt],
     i.Probe: lambda n, a: ["askLoad", n, a.endpoint],
     i.CloseIdle: lambda n, a: ["dropConns", n, a.endpoint],
-    i.Tell: lambda n, a: ["broadcastTo", n, -1, f"{a.endpoint:08x}{a.works:02x}"],
-    i.Wake: lambda n, a: ["wakeMe", n, a.after_s, a.label],
+    i.PublishJudgement: lambda n, a: ["broadcastTo", n, -1, f"{a.endpoint:08x}{a.works:02x}"],
+    i.SetTimer: lambda n, a: ["wakeMe", n, a.after_s, a.label],
     i.Subscribe: lambda n, a: ["tail", n, True],
     i.FetchList: lambda n, a: ["queryAll", n],
     i.Log: lambda n, a: ["writeLog", n, a.text],
--- a/willownotch/bodies/plan.py
+++ b/willownotch/bodies/plan.py
@@ -16,7 +16,7 @@
 
 from willownotch.bodies.settings import AtLimit, ClassBodies
 from willownotch.files.space import blocks
-from willownotch.interface import Effect
+from willownotch.interface import Idempotency
 
 GAIN = 0.2  # of the newest gap between two deliveries, in a destination's smoothed gap
 FIRST_GAP_S = 0.2  # s; before any delivery was seen
@@ -78,7 +78,7 @@
 
     name: str
     worth: float
-    effect: Effect
+    idempotency: Idempotency
     own: ClassBodies
 
     def share(self, room: int) -> int:
@@ -337,12 +337,12 @@
     return best.number if best else None
 
 
-def ending(effect: Effect, may_have_run: bool) -> str:
+def ending(effect: Idempotency, may_have_run: bool) -> str:
     """The notice's word for a message whose body is lost, dropped or was never kept.
 
     Nothing that may have run is handed back where a repeat could count twice; an unrepeatable message ends as
     failed.
     """
-    if effect is Effect.SAFE or (effect is Effect.KEYED and not may_have_run):
+    if effect is Idempotency.SAFE or (effect is Idempotency.KEYED and not may_have_run):
         return "handed_back"
     return "given_up"
--- a/willownotch/bodies/settings.py
+++ b/willownotch/bodies/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from willownotch.interface import Effect
+from willownotch.interface import Idempotency
 from willownotch.settings.types import ChoiceWord, Flag, Named, ShareWord, SizeWord, SpanWord, YesNo
 
 PATIENCE = timedelta(milliseconds=10), timedelta(milliseconds=250)  # a client waits 400 ms for its answer
@@ -55,10 +55,10 @@
         return found
 
 
-def for_class(settings: BodiesSettings, name: str, effect: Effect) -> ClassBodies:
+def for_class(settings: BodiesSettings, name: str, effect: Idempotency) -> ClassBodies:
     """A class's treatment, complete. News that may be repeated gives way; nothing else is dropped unasked."""
     own = settings.class_.get(name, ClassBodies())
-    safe = effect is Effect.SAFE
+    safe = effect is Idempotency.SAFE
     return ClassBodies(
         share=own.share if own.share is not None else 0.0 if safe else 0.2,
         at_limit=own.at_limit or (AtLimit.ONE_TRY if safe else AtLimit.REFUSE),
--- a/willownotch/bodies/store.py
+++ b/willownotch/bodies/store.py
@@ -182,7 +182,7 @@
             self.settings, self.limits = settings, limits
             self.segment_size = settings.segment or max(SEGMENT_LEAST, min(SEGMENT_MOST, share))
             self.plans = {
-                c.name: ClassPlan(c.name, c.worth, c.effect, for_class(settings, c.name, c.effect))
+                c.name: ClassPlan(c.name, c.worth, c.idempotency, for_class(settings, c.name, c.idempotency))
                 for c in self.classes
             }
         self._queue.put(None)
@@ -454,7 +454,7 @@
             outlook = self.outlooks.setdefault(destination, Outlook())
             if outcome is Outcome.DELIVERED:
                 outlook.delivered(now)
-            elif outcome not in (Outcome.NOT_SENT, Outcome.CALLED_OFF):
+            elif outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
                 outlook.failed(now, seconds(wait))
 
     def forget_destinations(self, listed: set[int]) -> None:
--- a/willownotch/handover/messages.py
+++ b/willownotch/handover/messages.py
@@ -23,7 +23,7 @@
     over: bool
     room_left: float | None
     limit_per_s: float | None
-    unread: bool
+    unreadable: bool
 
     def ended(self) -> RelayEnded:
         """As the owner takes it, the relay still to be filled in."""
@@ -36,11 +36,11 @@
             self.over,
             self.room_left,
             self.limit_per_s,
-            self.unread,
+            self.unreadable,
         )
 
 
-class CallOff(msgspec.Struct, array_like=True):
+class CancelAttempt(msgspec.Struct, array_like=True):
     """The new process waits no more for a call."""
 
     ref: str
@@ -87,5 +87,5 @@
         ended.over,
         ended.room_left,
         ended.limit_per_s,
-        ended.unread,
+        ended.unreadable,
     )
--- a/willownotch/handover/predecessor.py
+++ b/willownotch/handover/predecessor.py
@@ -15,7 +15,7 @@
 
 from willownotch.bodies.store import Bodies
 from willownotch.handover.lock import FolderLock
-from willownotch.handover.messages import Adopted, CallOff, Withdrawn, call_ended
+from willownotch.handover.messages import Adopted, CancelAttempt, Withdrawn, call_ended
 from willownotch.handover.passing import ClientPassing
 from willownotch.handover.state import HandoverState
 from willownotch.handover.version import version
@@ -282,7 +282,7 @@
     def _take(self, frame: Frame) -> None:
         decode = msgspec.msgpack.decode
         if frame.kind is Kind.CALL_OFF:
-            off = decode(frame.data, type=CallOff)
+            off = decode(frame.data, type=CancelAttempt)
             self.south.call_off_by(off.ref, off.number)
             self.owner.call_off_remote(off.ref, off.number)
         elif frame.kind in (Kind.ADOPTED, Kind.NOT_ADOPTED):
--- a/willownotch/handover/successor.py
+++ b/willownotch/handover/successor.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from willownotch.handover.lock import FolderLock
-from willownotch.handover.messages import Adopted, CallEnded, CallOff, Client, Withdrawn
+from willownotch.handover.messages import Adopted, CallEnded, CancelAttempt, Client, Withdrawn
 from willownotch.handover.state import HandoverState
 from willownotch.handover.version import version
 from willownotch.handover.wire import LOCK_WANTED, BadFrameError, Frame, Kind, Link, address
@@ -138,7 +138,7 @@
     def call_off_by(self, ref: str, number: int) -> None:
         """The same, for who knows only what it is called."""
         try:
-            self.link.send(Kind.CALL_OFF, msgspec.msgpack.encode(CallOff(ref, number)))
+            self.link.send(Kind.CALL_OFF, msgspec.msgpack.encode(CancelAttempt(ref, number)))
         except OSError:
             pass  # it is gone: `run` says so
 
--- a/willownotch/interface.py
+++ b/willownotch/interface.py
@@ -11,7 +11,7 @@
 from math import inf
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a message does at the destination."""
 
     SAFE = "safe"
@@ -19,7 +19,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which endpoints of a destination drop repeats of a keyed message."""
 
     ALL = "all"
@@ -39,11 +39,11 @@
 
     DELIVERED = "delivered"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    CALLED_OFF = "called off"
+    CANCELLED = "called off"
     NOT_SENT = "not sent"
 
 
@@ -72,21 +72,21 @@
     wanted_s: float
     deadline_s: float
     late_share: float
-    effect: Effect
-    group: Group = Group.ALL
-    memory_s: float = 0.0
+    idempotency: Idempotency
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window_s: float = 0.0
     in_order: bool = False
-    stretch: float = 0.0
+    cost_hint_factor: float = 0.0
     attempts: int = 0  # for a message at most; 0: as the settings have it
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class DestinationKind:
     """A kind of destination: messages in one call, and whether its endpoints are routes apart."""
 
     name: str
     batch: int = 1
-    routes_apart: bool = False
+    separate_routes: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -115,7 +115,7 @@
     """What a sender is handed at its start. Prices are points of the result, zero where none is due."""
 
     classes: tuple[MessageClass, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[DestinationKind, ...]
     slots: int
     holding_room: int
     tenants: tuple[Tenant, ...] = ()
@@ -128,14 +128,14 @@
     waste_price: float = 0.0
     handshake_price: float = 0.0
     keepalive_s: float = inf
-    max_come_back_s: float = 0.0
+    max_retry_after_s: float = 0.0
     may_cancel: bool = False
     may_probe: bool = False
     may_tell: bool = False
     second_copies: bool = False
     must_subscribe: bool = False
     listed_rates: bool = False
-    again_is_marked: bool = False
+    clients_mark_retries: bool = False
     rules: Rules = field(default_factory=Rules)
 
     def __post_init__(self) -> None:
@@ -208,7 +208,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Remembered:
+class SlowStartRecords:
     """What the process before this one knew of endpoints; told before the first list.
 
     `alive_at` is when it last said so, None where nothing is known: then any endpoint may be cold. A sender
@@ -216,7 +216,7 @@
     """
 
     records: tuple[SlowStartRecord, ...]
-    alive_at: float | None
+    saved_at: float | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -243,7 +243,7 @@
     tenant: int = 0
     key: str | None = None
     cost_hint_s: float = 0.0
-    again: bool = False
+    is_retry: bool = False
     past: tuple[PastAttempt, ...] = ()
     rules: MessageClass | None = None
 
@@ -272,7 +272,7 @@
     no_slot: bool = False
     room_left: float | None = None
     limit_per_s: float | None = None
-    unread: bool = False
+    unreadable: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -295,7 +295,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class PeerJudgement:
     """Another sender tells that an endpoint fails, or works again."""
 
     endpoint: int
@@ -315,7 +315,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
+class SettingsChanged:
     """Other settings hold from now on; kinds and zones are the same. Messages in hand keep their class."""
 
     settings: Settings
@@ -353,7 +353,7 @@
     """Final answer: handed back, another try does no harm, best after `come_back_s`."""
 
     ref: str
-    come_back_s: float
+    retry_after_s: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -364,7 +364,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
+class CancelAttempt:
     """Stop awaiting an attempt."""
 
     ref: str
@@ -386,7 +386,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class PublishJudgement:
     """Tell all other senders that an endpoint fails, or works again; it may be lost."""
 
     endpoint: int
@@ -394,7 +394,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     """Ask for a timer."""
 
     after_s: float
@@ -421,17 +421,17 @@
 
 Event = (
     EndpointList
-    | Remembered
+    | SlowStartRecords
     | ListFailed
     | Message
     | Withdrawn
     | AttemptEnded
     | AnswerStarted
     | ProbeEnded
-    | Note
+    | PeerJudgement
     | TenantPart
-    | Retuned
+    | SettingsChanged
     | Stopping
     | Timer
 )
-Action = Send | Refuse | Fail | CallOff | Probe | CloseIdle | Tell | Wake | Subscribe | FetchList | Log
+Action = Send | Refuse | Fail | CancelAttempt | Probe | CloseIdle | PublishJudgement | SetTimer | Subscribe | FetchList | Log
--- a/willownotch/journal/records.py
+++ b/willownotch/journal/records.py
@@ -39,7 +39,7 @@
     ends_at: datetime
     key: str | None = None
     idempotency_key: str | None = None
-    again: bool = False
+    is_retry: bool = False
     body: bytes = b""
     apart: str | None = None  # the file that holds the body, where an earlier version wrote it
     checksum: int = 0  # of a body that stands apart so
--- a/willownotch/lab/model/baselines.py
+++ b/willownotch/lab/model/baselines.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 from math import inf, sqrt
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.control import Controller
-from willownotch.interface import Effect, Outcome, Readiness
-from willownotch.repeats import RAN
+from willownotch.interface import Idempotency, Outcome, Readiness
+from willownotch.repeats import RAN_BY_OUTCOME
 from willownotch.state import Ran
 
 TICK_S, LABEL = 0.02, 1
@@ -30,8 +30,8 @@
 class Job:
     """A message in hand."""
 
-    message: face.Message
-    cls: face.MessageClass
+    message: api.Message
+    cls: api.MessageClass
     ends_at: float
     came_at: float
     order: int
@@ -62,7 +62,7 @@
 class Plain:
     """What all have in common, and by itself the single try."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random, self.now = settings, random.Random(seed), 0.0
         self.jobs: dict[str, Job] = {}
         self.dests: dict[int, Destination] = {}
@@ -70,7 +70,7 @@
         self.calls: dict[tuple[str, int], tuple[float, int]] = {}  # began, endpoint
         self.keys: dict[str, list[Job]] = {}
         self.quiet: dict[str, float] = {}
-        self.out: list[face.Action] = []
+        self.out: list[api.Action] = []
         self.later: list[tuple[float, int, Job]] = []
         self._order = 0
         self.slots = settings.slots
@@ -81,7 +81,7 @@
         """Whether one more call may be out at a destination."""
         return dest.out < dest.limit
 
-    def heard(self, dest: Destination, event: face.AttemptEnded) -> None:
+    def heard(self, dest: Destination, event: api.AttemptEnded) -> None:
         """An attempt has ended."""
 
     def delay(self, job: Job) -> float | None:
@@ -93,17 +93,17 @@
 
     # The round
 
-    def handle(self, now: float, events: list[face.Event]) -> list[face.Action]:
+    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take a round of events, answer with actions."""
         self.now, self.out = now, []
         for event in events:
-            if isinstance(event, face.Message):
+            if isinstance(event, api.Message):
                 self._message(event)
-            elif isinstance(event, face.AttemptEnded):
+            elif isinstance(event, api.AttemptEnded):
                 self._ended(event)
-            elif isinstance(event, face.EndpointList):
+            elif isinstance(event, api.EndpointList):
                 self._list(event)
-            elif isinstance(event, face.Withdrawn):
+            elif isinstance(event, api.Withdrawn):
                 self._forget(self.jobs.get(event.ref))
         while self.later and self.later[0][0] <= now:
             job = heapq.heappop(self.later)[2]
@@ -115,13 +115,13 @@
                 self.look(dest)
                 self._start(dest)
         if self.jobs:
-            self.out.append(face.Wake(TICK_S, LABEL))
+            self.out.append(api.SetTimer(TICK_S, LABEL))
         return self.out
 
-    def _message(self, message: face.Message) -> None:
+    def _message(self, message: api.Message) -> None:
         cls = self.settings.classes[message.message_class]
         if len(self.jobs) >= self.settings.holding_room:
-            self.out.append(face.Refuse(message.ref, COME_BACK_S))
+            self.out.append(api.Refuse(message.ref, COME_BACK_S))
             return
         self._order += 1
         job = Job(message, cls, self.now + message.time_left_s, self.now, self._order)
@@ -136,7 +136,7 @@
             self.keys.setdefault(message.key, []).append(job)
         self.dests.setdefault(message.destination, Destination(message.destination)).waiting.append(job)
 
-    def _list(self, event: face.EndpointList) -> None:
+    def _list(self, event: api.EndpointList) -> None:
         if event.whole:
             for dest in self.dests.values():
                 dest.endpoints.clear()
@@ -151,9 +151,9 @@
     def _may_send(self, job: Job) -> bool:
         if len(job.runs) >= self.settings.max_attempts or Ran.OUTSTANDING in job.runs:
             return False
-        if job.first_risky_at is None or job.cls.effect is Effect.SAFE:
+        if job.first_risky_at is None or job.cls.idempotency is Idempotency.SAFE:
             return True
-        return job.cls.effect is Effect.KEYED and self.now < job.first_risky_at + job.cls.memory_s
+        return job.cls.idempotency is Idempotency.KEYED and self.now < job.first_risky_at + job.cls.dedup_window_s
 
     def _first_of_key(self, job: Job) -> bool:
         key = job.message.key
@@ -187,9 +187,9 @@
         self.calls[job.message.ref, len(job.runs)] = self.now, endpoint
         job.runs.append(Ran.OUTSTANDING)
         left = job.ends_at - ENDS_BEFORE_S - self.now
-        self.out.append(face.Send(job.message.ref, endpoint, max(0.01, min(TIME_OUT_S, left))))
+        self.out.append(api.Send(job.message.ref, endpoint, max(0.01, min(TIME_OUT_S, left))))
 
-    def _ended(self, event: face.AttemptEnded) -> None:
+    def _ended(self, event: api.AttemptEnded) -> None:
         began, endpoint = self.calls.pop((event.ref, event.attempt), (0.0, -1))
         dest = self.dests.get(self.where.get(endpoint, -1))
         if dest is None:
@@ -203,10 +203,10 @@
         job = self.jobs.get(event.ref)
         if job is None:
             return
-        job.runs[event.attempt] = RAN[event.outcome]
+        job.runs[event.attempt] = RAN_BY_OUTCOME[event.outcome]
         if job.runs[event.attempt] is not Ran.NEVER and job.first_risky_at is None:
             job.first_risky_at = began
-        if event.outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CALLED_OFF) and job.message.key:
+        if event.outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED) and job.message.key:
             self.quiet[job.message.key] = self.now + self.settings.rules.key_quiet_s
         if event.final or event.outcome is Outcome.DELIVERED:
             self._forget(job)
@@ -227,13 +227,13 @@
         risky = [ran for ran in job.runs if ran is not Ran.NEVER]
         harmless = (
             not risky
-            or job.cls.effect is Effect.SAFE
-            or (job.cls.effect is Effect.KEYED and Ran.OUTSTANDING not in job.runs)
+            or job.cls.idempotency is Idempotency.SAFE
+            or (job.cls.idempotency is Idempotency.KEYED and Ran.OUTSTANDING not in job.runs)
         )
         if harmless:
-            self.out.append(face.Refuse(job.message.ref, COME_BACK_S))
+            self.out.append(api.Refuse(job.message.ref, COME_BACK_S))
         else:
-            self.out.append(face.Fail(job.message.ref))
+            self.out.append(api.Fail(job.message.ref))
         self._forget(job)
 
     def _forget(self, job: Job | None) -> None:
@@ -266,7 +266,7 @@
         dest.limit = self.start if dest.limit == inf else dest.limit
         return dest.out < dest.limit
 
-    def heard(self, dest: Destination, event: face.AttemptEnded) -> None:
+    def heard(self, dest: Destination, event: api.AttemptEnded) -> None:
         """One more for each window of successes; half after a failure, once in a while."""
         limit = self.start if dest.limit == inf else dest.limit
         if event.outcome is Outcome.DELIVERED:
@@ -281,11 +281,11 @@
 
     share, least_per_s, most = 0.2, 0.5, 20.0
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.tokens, self.filled_at = self.most / 2, 0.0
 
-    def _message(self, message: face.Message) -> None:
+    def _message(self, message: api.Message) -> None:
         self.tokens = min(self.most, self.tokens + self.share)
         super()._message(message)
 
@@ -310,10 +310,10 @@
         dest.limit = self.start if dest.limit == inf else dest.limit
         return dest.out < dest.limit
 
-    def heard(self, dest: Destination, event: face.AttemptEnded) -> None:
+    def heard(self, dest: Destination, event: api.AttemptEnded) -> None:
         """Feed a latency; a failure counts as a call that took as long as a time-out."""
         limit = self.start if dest.limit == inf else dest.limit
-        if event.outcome in (Outcome.TURNED_AWAY, Outcome.UNREACHABLE, Outcome.TIMED_OUT):
+        if event.outcome in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMED_OUT):
             dest.limit = max(self.least, limit * 0.9)
             return
         took = event.took_s
@@ -351,7 +351,7 @@
                 self._give_up(head)
 
 
-POLICIES: dict[str, Callable[[face.Settings, int], object]] = {
+POLICIES: dict[str, Callable[[api.Settings, int], object]] = {
     "module": Controller,
     "single try": Plain,
     "back-off": Backoff,
--- a/willownotch/lab/model/ledger.py
+++ b/willownotch/lab/model/ledger.py
@@ -11,7 +11,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from willownotch.interface import Effect, MessageClass
+from willownotch.interface import Idempotency, MessageClass
 
 WINDOW_S, SAMPLE_S = 10.0, 0.5
 WEIGHTS = {"run": 0.45, "window": 0.25, "class": 0.20, "tenant": 0.10}
@@ -102,7 +102,7 @@
         self.work_s += takes_s
         if item.effects > 1:
             self.wasted_s += takes_s
-            if self.classes[item.cls].effect is Effect.UNSAFE:
+            if self.classes[item.cls].idempotency is Idempotency.UNSAFE:
                 self.breach("effect twice", at, ref)
 
     def result(self, until: float) -> Result:
--- a/willownotch/lab/model/node.py
+++ b/willownotch/lab/model/node.py
@@ -11,20 +11,20 @@
 from math import inf
 from typing import Protocol
 
-from willownotch import interface as face
-from willownotch.interface import Effect, Outcome, Readiness
+from willownotch import interface as api
+from willownotch.interface import Idempotency, Outcome, Readiness
 from willownotch.lab.model.ledger import DRAIN_S, EPSILON, SLACK_S, Item, Ledger
 from willownotch.lab.model.partners import Answer, Call, Endpoint, State
 from willownotch.lab.model.world import World
 
-MAYBE = (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CALLED_OFF, Outcome.ERROR, Outcome.DELIVERED)
+MAYBE = (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED, Outcome.ERROR, Outcome.DELIVERED)
 CONNECT_S = 1.0  # until a connection that nobody answers is given up
 
 
 class Policy(Protocol):
     """The decision module's interface: what any policy here has."""
 
-    def handle(self, now: float, events: list[face.Event]) -> list[face.Action]:
+    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take a round of events, answer with actions."""
 
 
@@ -66,7 +66,7 @@
         self,
         world: World,
         number: int,
-        settings: face.Settings,
+        settings: api.Settings,
         make: Callable[[int], Policy],
         ledger: Ledger,
         endpoints: dict[int, Endpoint],
@@ -77,17 +77,17 @@
         self.world, self.number, self.settings, self.make = world, number, settings, make
         self.ledger, self.endpoints, self.way_s, self.period_s = ledger, endpoints, way_s, period_s
         self.takes_s = takes_s
-        self.told: Callable[[Item, str, float], None] = lambda item, what, come_back_s: None
+        self.told: Callable[[Item, str, float], None] = lambda item, what, retry_after_s: None
         self.held: dict[str, Held] = {}
         self.up = True
         self.life = 0
         self.policy = make(0)
         self.told_off: dict[int, float] = {}  # endpoints not to be used any more, since when it was told
-        self.listed: dict[int, face.Endpoint] = {}
+        self.listed: dict[int, api.Endpoint] = {}
         self.wait_until: dict[int, float] = {}  # by destination: as told
         self.seen_failing: dict[int, float] = {}  # by destination: when a call failed there last
         self.quiet: dict[str, float] = {}  # keys that rest
-        self._events: list[face.Event] = []
+        self._events: list[api.Event] = []
         self._round_at = -inf
         self._due = False
         self._idle: dict[int, Idle] = {}
@@ -97,7 +97,7 @@
 
     # What comes in
 
-    def post(self, event: face.Event) -> None:
+    def post(self, event: api.Event) -> None:
         """An event for the next round."""
         self._events.append(event)
         if not self._due:
@@ -121,26 +121,26 @@
             self._by_key.setdefault(item.key, []).append(held)
         self.world.at(held.ends_at + SLACK_S, self._check_end, held, self.life)
         self.post(
-            face.Message(
+            api.Message(
                 item.ref,
                 item.dest,
                 item.cls,
                 max(0.001, item.ends_at - now),
                 item.tenant,
                 item.key,
-                again=again,
+                is_retry=again,
             )
         )
         return True
 
-    def hear_list(self, entries: tuple[face.Endpoint, ...], whole: bool) -> None:
+    def hear_list(self, entries: tuple[api.Endpoint, ...], whole: bool) -> None:
         """News of the list has come."""
         now = self.world.now
         if whole:
             entries = (
                 *entries,
                 *(
-                    face.Endpoint(e.number, e.destination, e.kind, e.zone, Readiness.GONE)
+                    api.Endpoint(e.number, e.destination, e.kind, e.zone, Readiness.GONE)
                     for number, e in self.listed.items()
                     if number not in {x.number for x in entries}
                 ),
@@ -152,7 +152,7 @@
             else:
                 self.told_off.setdefault(entry.number, now)
         if self.up:
-            self.post(face.EndpointList(entries, whole))
+            self.post(api.EndpointList(entries, whole))
 
     # Rounds
 
@@ -164,29 +164,29 @@
         for action in self.policy.handle(self.world.now, events):
             self._act(action)
 
-    def _act(self, action: face.Action) -> None:
-        if isinstance(action, face.Send):
+    def _act(self, action: api.Action) -> None:
+        if isinstance(action, api.Send):
             self._send(action)
-        elif isinstance(action, face.Wake):
+        elif isinstance(action, api.SetTimer):
             self.world.after(action.after_s, self._ring, action.label, self.life)
-        elif isinstance(action, face.Refuse):
-            self._end(action.ref, "refused", action.come_back_s)
-        elif isinstance(action, face.Fail):
+        elif isinstance(action, api.Refuse):
+            self._end(action.ref, "refused", action.retry_after_s)
+        elif isinstance(action, api.Fail):
             self._end(action.ref, "failed")
-        elif isinstance(action, face.CallOff):
+        elif isinstance(action, api.CancelAttempt):
             held = self.held.get(action.ref)
             if held is not None and action.attempt < len(held.attempts):
-                self._ended(held, held.attempts[action.attempt], Answer(Outcome.CALLED_OFF), self.life)
-        elif isinstance(action, face.CloseIdle):
+                self._ended(held, held.attempts[action.attempt], Answer(Outcome.CANCELLED), self.life)
+        elif isinstance(action, api.CloseIdle):
             self._idle.pop(action.endpoint, None)
 
     def _ring(self, label: int, life: int) -> None:
         if life == self.life and self.up:
-            self.post(face.Timer(label))
+            self.post(api.Timer(label))
 
     # Attempts
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: api.Send) -> None:
         held, endpoint = self.held[action.ref], self.endpoints[action.endpoint]
         now, item = self.world.now, held.item
         self._check(held, endpoint)
@@ -230,11 +230,11 @@
         self.out -= 1
         attempt.outcome = answer.outcome
         attempt.call.hear = None
-        if answer.outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.TURNED_AWAY):
+        if answer.outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED):
             self._idle.setdefault(attempt.endpoint.number, Idle()).since.append(now)
         if answer.outcome is not Outcome.DELIVERED:
             self.seen_failing[dest] = now
-        if answer.outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CALLED_OFF) and held.item.key:
+        if answer.outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED) and held.item.key:
             self.quiet[held.item.key] = now + self.settings.rules.key_quiet_s
         if answer.wait_s:
             self.wait_until[dest] = max(self.wait_until.get(dest, 0.0), now + answer.wait_s)
@@ -243,7 +243,7 @@
             self._over(held, "delivered")
         if self.up:
             self.post(
-                face.AttemptEnded(
+                api.AttemptEnded(
                     held.item.ref,
                     attempt.number,
                     attempt.endpoint.number,
@@ -258,17 +258,17 @@
 
     # Endings
 
-    def _end(self, ref: str, what: str, come_back_s: float = 0.0) -> None:
+    def _end(self, ref: str, what: str, retry_after_s: float = 0.0) -> None:
         held = self.held.get(ref)
         if held is None or held.over:
             self.ledger.breach("two endings", self.world.now, ref, what)
             return
         risky = [a for a in held.attempts if a.outcome is None or a.outcome in MAYBE]
-        if what == "refused" and risky and self.settings.classes[held.item.cls].effect is Effect.UNSAFE:
+        if what == "refused" and risky and self.settings.classes[held.item.cls].idempotency is Idempotency.UNSAFE:
             self.ledger.breach("handed back though it may have run", self.world.now, ref)
-        self._over(held, what, come_back_s)
+        self._over(held, what, retry_after_s)
 
-    def _over(self, held: Held, what: str, come_back_s: float = 0.0) -> None:
+    def _over(self, held: Held, what: str, retry_after_s: float = 0.0) -> None:
         held.over = True
         self.open -= 1
         if held.item.key is not None:
@@ -276,7 +276,7 @@
         if self.world.now > held.ends_at + SLACK_S + EPSILON:
             self.ledger.breach("ended too late", self.world.now, held.item.ref, what)
         self.world.note(what, self.number, held.item.ref)
-        self.told(held.item, what, come_back_s)
+        self.told(held.item, what, retry_after_s)
 
     def _check_end(self, held: Held, life: int) -> None:
         if not held.over and self.up and self.held.get(held.item.ref) is held:
@@ -297,8 +297,8 @@
             self.ledger.breach("wait", now, item.ref, call)
         risky = [a for a in held.attempts if a.outcome is None or a.outcome in MAYBE]
         if risky and (
-            cls.effect is Effect.UNSAFE
-            or (cls.effect is Effect.KEYED and now > risky[0].began_at + cls.memory_s + EPSILON)
+            cls.idempotency is Idempotency.UNSAFE
+            or (cls.idempotency is Idempotency.KEYED and now > risky[0].began_at + cls.dedup_window_s + EPSILON)
         ):
             self.ledger.breach("repeat", now, item.ref, call)
         if cls.in_order and item.key is not None:
@@ -319,14 +319,14 @@
         self._idle.clear()
         self.wait_until.clear()
 
-    def restart(self, entries: tuple[face.Endpoint, ...]) -> None:
+    def restart(self, entries: tuple[api.Endpoint, ...]) -> None:
         """Back with the folder that lasts: what is owed comes first, in the order it was taken on."""
         self.up = True
         now = self.world.now
         self.policy = self.make(self.life)
         self.seen_failing.clear()
         self.quiet.clear()
-        self.post(face.EndpointList(entries, True))
+        self.post(api.EndpointList(entries, True))
         for held in sorted(self.held.values(), key=lambda each: each.order):
             if held.over:
                 continue
@@ -340,16 +340,16 @@
                 maybe = attempt.outcome is None or attempt.outcome in MAYBE
                 if attempt.outcome is None:
                     attempt.outcome = Outcome.BROKEN
-                past.append(face.PastAttempt(attempt.endpoint.number, now - attempt.began_at, maybe))
+                past.append(api.PastAttempt(attempt.endpoint.number, now - attempt.began_at, maybe))
             self.post(
-                face.Message(
+                api.Message(
                     held.item.ref,
                     held.item.dest,
                     held.item.cls,
                     held.ends_at - now,
                     held.item.tenant,
                     held.item.key,
-                    again=True,
+                    is_retry=True,
                     past=tuple(past),
                 )
             )
--- a/willownotch/lab/model/partners.py
+++ b/willownotch/lab/model/partners.py
@@ -195,13 +195,13 @@
         wait = 0.0
         if self.block.tells_wait and self.limit is not None:
             wait = max(0.0, 1.0 - self.limit.left) / self.limit.rate()
-        self._tell(call, Outcome.TURNED_AWAY, wait)
+        self._tell(call, Outcome.REJECTED, wait)
 
     def _tell(self, call: Call, outcome: Outcome, wait_s: float = 0.0) -> None:
         if call.hear is None:
             return
         room = limit = None
-        if self.limit is not None and outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.TURNED_AWAY):
+        if self.limit is not None and outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED):
             made, room, limit = self._report
             if self.world.now - made >= self.report_s:
                 rate = self.limit.rate()
--- a/willownotch/lab/model/scenario.py
+++ b/willownotch/lab/model/scenario.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from willownotch.interface import Effect
+from willownotch.interface import Idempotency
 from willownotch.lab.load.settings import Clump, Jump, LoadClass, LoadSettings, Ramp, Shared
 from willownotch.settings.types import (
     ChoiceWord,
@@ -77,7 +77,7 @@
     wanted: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=2.5)
     deadline: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=16)
     late_share: Part = 0.3  # of its worth, at the deadline
-    repeat: Annotated[Effect, ChoiceWord(Effect)] = Effect.SAFE
+    repeat: Annotated[Idempotency, ChoiceWord(Idempotency)] = Idempotency.SAFE
     memory: Span = timedelta(0)  # how long a repeat is recognised
     in_order: YesNo = Flag.NO
     keys: Annotated[int, CountWord(0, 10**6)] = 0
@@ -136,14 +136,14 @@
     def classes(self) -> dict[str, ModelClass]:
         """Those of the file, or those of the port."""
         return self.class_ or {
-            "slot-order": ModelClass(share=0.46, repeat=Effect.KEYED, memory=timedelta(seconds=15)),
+            "slot-order": ModelClass(share=0.46, repeat=Idempotency.KEYED, memory=timedelta(seconds=15)),
             "slot-status": ModelClass(share=0.43, deadline=timedelta(seconds=28), late_share=0.4),
             "fee-payment": ModelClass(
                 share=0.11,
                 worth=3.0,
                 wanted=timedelta(seconds=2),
                 deadline=timedelta(seconds=20),
-                repeat=Effect.UNSAFE,
+                repeat=Idempotency.UNSAFE,
                 in_order=Flag.YES,
                 keys=400,
                 takes_low=timedelta(milliseconds=110),
--- a/willownotch/lab/model/story.py
+++ b/willownotch/lab/model/story.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.interface import Readiness
 from willownotch.lab.load.plan import Plan, draw
 from willownotch.lab.model.baselines import POLICIES
@@ -34,7 +34,7 @@
     def __init__(
         self,
         scenario: Scenario,
-        policy: str | Callable[[face.Settings, int], Policy] = "module",
+        policy: str | Callable[[api.Settings, int], Policy] = "module",
         seed: int = 1,
     ) -> None:
         self.scenario, self.seed = scenario, seed
@@ -42,14 +42,14 @@
         self.draws = self.world.draws("layout")
         blocks = scenario.classes()
         self.classes = tuple(
-            face.MessageClass(
+            api.MessageClass(
                 name,
                 c.worth,
                 seconds(c.wanted),
                 seconds(c.deadline),
                 c.late_share,
                 c.repeat,
-                memory_s=seconds(c.memory),
+                dedup_window_s=seconds(c.memory),
                 in_order=bool(c.in_order),
             )
             for name, c in blocks.items()
@@ -80,7 +80,7 @@
         """Simulated time; the socket twin has another."""
         return World(self.seed)
 
-    def make_nodes(self, make: Callable[[face.Settings, int], Policy]) -> list[Node]:
+    def make_nodes(self, make: Callable[[api.Settings, int], Policy]) -> list[Node]:
         """Senders around policies; the socket twin has processes."""
         return [self._node(n, make) for n in range(self.scenario.senders)]
 
@@ -128,28 +128,28 @@
         endpoint.number = len(self.endpoints)
         self.endpoints[endpoint.number] = endpoint
 
-    def _settings(self) -> face.Settings:
+    def _settings(self) -> api.Settings:
         scenario, each = self.scenario, self.full / self.scenario.senders
         busy = each * (self.mean_takes + QUEUE_WAIT_S)
-        return face.Settings(
+        return api.Settings(
             classes=self.classes,
-            kinds=tuple(face.Kind(name) for name in scenario.kinds()),
+            kinds=tuple(api.DestinationKind(name) for name in scenario.kinds()),
             slots=max(SLOTS_LEAST, round(busy * self.draws.uniform(scenario.slots_low, scenario.slots_high))),
             holding_room=max(HOLDING_LEAST, round(each * seconds(scenario.holding))),
-            tenants=tuple(face.Tenant(name, t.share * self.full) for name, t in self.tenants.items()),
+            tenants=tuple(api.Tenant(name, t.share * self.full) for name, t in self.tenants.items()),
             senders=scenario.senders,
             max_attempts=scenario.attempts,
             over_share_worth=scenario.over_share_worth,
             keepalive_s=seconds(scenario.keepalive),
-            max_come_back_s=seconds(scenario.come_back_most),
+            max_retry_after_s=seconds(scenario.come_back_most),
             may_cancel=True,
             second_copies=True,
             listed_rates=True,
-            again_is_marked=True,
-            rules=face.Rules(cold_share=0.18, cold_s=14.0, fall_multiple=2.0, fall_s=2.0, key_quiet_s=0.3),
+            clients_mark_retries=True,
+            rules=api.Rules(cold_share=0.18, cold_s=14.0, fall_multiple=2.0, fall_s=2.0, key_quiet_s=0.3),
         )
 
-    def _node(self, number: int, make: Callable[[face.Settings, int], Policy]) -> Node:
+    def _node(self, number: int, make: Callable[[api.Settings, int], Policy]) -> Node:
         scenario, seed = self.scenario, self.seed * 1000 + number
         node = Node(
             self.world,
@@ -165,13 +165,13 @@
         node.told = partial(self._told, node)
         return node
 
-    def entries(self) -> tuple[face.Endpoint, ...]:
+    def entries(self) -> tuple[api.Endpoint, ...]:
         """The list as it is: each partner's endpoints, with a rough rate."""
         return tuple(self._listed(e) for e in self.endpoints.values() if e.readiness is not Readiness.GONE)
 
-    def _listed(self, endpoint: Endpoint) -> face.Endpoint:
+    def _listed(self, endpoint: Endpoint) -> api.Endpoint:
         partner = endpoint.partner
-        return face.Endpoint(
+        return api.Endpoint(
             endpoint.number,
             partner.number,
             list(self.scenario.kinds()).index(partner.kind),
@@ -282,7 +282,7 @@
         if not node.take(item, self.tries.get(item.ref, 0) > 0):
             self._told(node, item, "refused", 0.0)  # nobody listens there
 
-    def _told(self, node: Node, item: Item, what: str, come_back_s: float) -> None:
+    def _told(self, node: Node, item: Item, what: str, retry_after_s: float) -> None:
         now = self.world.now
         item.ended = what
         if what == "delivered":
@@ -293,7 +293,7 @@
         tries = self.tries.get(item.ref, 0)
         if what != "refused" or tries >= self.scenario.retries:
             return
-        wait = max(come_back_s, seconds(self.scenario.retry_wait)) * self._clients.uniform(0.8, 1.2)
+        wait = max(retry_after_s, seconds(self.scenario.retry_wait)) * self._clients.uniform(0.8, 1.2)
         if now + wait < item.ends_at:
             self.tries[item.ref] = tries + 1
             self.world.after(wait, self._hand_in, item, node)
@@ -313,14 +313,14 @@
 
     # Troubles
 
-    def _publish(self, entries: tuple[face.Endpoint, ...]) -> None:
+    def _publish(self, entries: tuple[api.Endpoint, ...]) -> None:
         """News of the list, to each sender in its own time."""
         scenario, draws = self.scenario, self.world.draws(f"list {self.world.now}")
         for node in self.nodes:
             delay = draws.uniform(seconds(scenario.list_low), seconds(scenario.list_high))
             self.world.after(delay, node.hear_list, entries, False)
 
-    def _entry(self, endpoint: Endpoint, readiness: Readiness) -> face.Endpoint:
+    def _entry(self, endpoint: Endpoint, readiness: Readiness) -> api.Endpoint:
         endpoint.readiness = readiness
         return self._listed(endpoint)
 
--- a/willownotch/lab/prices/trace.py
+++ b/willownotch/lab/prices/trace.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from willownotch import cli
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.journal.records import Taken
 from willownotch.lab.prices import lines
 from willownotch.net.client_side import ClientSide, Reply
@@ -39,7 +39,7 @@
         now, left = time.time(), (taken.ends_at - self.clock.now()).total_seconds()
         say(
             lines.Came(
-                now, taken.ref, taken.message_class, taken.tenant, taken.destination, taken.again, left
+                now, taken.ref, taken.message_class, taken.tenant, taken.destination, taken.is_retry, left
             )
         )
         reply = super()._hand_in(taken, read_at)
@@ -56,20 +56,20 @@
         self.handed: set[str] = set()  # messages that clients handed in, until the module hears of them
         self._begun: dict[str, int] = {}  # of a message, the attempts so far, as the owner counts them
 
-    def _handle(self, now: float, events: list[face.Event]) -> list[face.Action]:
-        at, book = time.time(), self.controller.book
-        held = len(book.jobs) + sum(isinstance(event, face.Message) for event in events)
-        there = {number: len(dest.held) for number, dest in book.active.items()}
+    def _handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        at, store = time.time(), self.controller.store
+        held = len(store.jobs) + sum(isinstance(event, api.Message) for event in events)
+        there = {number: len(dest.held) for number, dest in store.active.items()}
         for event in events:
-            if isinstance(event, face.Message):
+            if isinstance(event, api.Message):
                 there[event.destination] = there.get(event.destination, 0) + 1
-            if isinstance(event, face.Message) and event.ref in self.handed:
+            if isinstance(event, api.Message) and event.ref in self.handed:
                 self.handed.discard(event.ref)
-            elif isinstance(event, face.Message):
+            elif isinstance(event, api.Message):
                 self._begun[event.ref] = len(event.past)
                 ran = any(past.may_have_run for past in event.past)
                 say(lines.Recalled(at, event.ref, len(event.past), ran))
-            elif isinstance(event, face.AttemptEnded):
+            elif isinstance(event, api.AttemptEnded):
                 say(
                     lines.CallEnded(
                         at,
@@ -83,19 +83,19 @@
                 )
         actions = self._decide(now, events)
         for action in actions:
-            if isinstance(action, face.Send):
+            if isinstance(action, api.Send):
                 number = self._begun.get(action.ref, 0)
                 self._begun[action.ref] = number + 1
                 say(lines.Called(at, action.ref, number, action.endpoint))
-            elif isinstance(action, face.Refuse | face.Fail):
-                refused = isinstance(action, face.Refuse)
+            elif isinstance(action, api.Refuse | api.Fail):
+                refused = isinstance(action, api.Refuse)
                 dest = self._owed[action.ref].taken.destination
                 say(
                     lines.Over(
                         at,
                         action.ref,
                         "refused" if refused else "failed",
-                        action.come_back_s if refused else 0.0,
+                        action.retry_after_s if refused else 0.0,
                         held,
                         there.get(dest, 0),
                     )
--- a/willownotch/lab/recovery/case.py
+++ b/willownotch/lab/recovery/case.py
@@ -28,7 +28,7 @@
     OutageKind.RESET: Outcome.BROKEN,
     OutageKind.ERROR: Outcome.ERROR,
     OutageKind.HANG: Outcome.TIMED_OUT,
-    OutageKind.REFUSED: Outcome.TURNED_AWAY,
+    OutageKind.REFUSED: Outcome.REJECTED,
 }
 
 
--- a/willownotch/lab/recovery/destination.py
+++ b/willownotch/lab/recovery/destination.py
@@ -93,7 +93,7 @@
         takes = self.left >= 1.0
         self.left -= takes
         self.delivered += [now] * takes
-        outcome = Outcome.DELIVERED if takes else Outcome.TURNED_AWAY
+        outcome = Outcome.DELIVERED if takes else Outcome.REJECTED
         return Reply(outcome, took if takes else 0.01, max(0.0, self.left) / limit, limit)
 
     def learns(self, sender: int, sent_at: float) -> None:
--- a/willownotch/lab/recovery/play.py
+++ b/willownotch/lab/recovery/play.py
@@ -12,33 +12,33 @@
 from willownotch.control import Controller
 from willownotch.interface import (
     AttemptEnded,
-    CallOff,
-    Effect,
+    CancelAttempt,
+    Idempotency,
     Endpoint,
     EndpointList,
     Event,
     Fail,
-    Kind,
+    DestinationKind,
     Message,
     MessageClass,
     Outcome,
     PastAttempt,
     Refuse,
-    Remembered,
+    SlowStartRecords,
     Send,
     Settings,
     Timer,
-    Wake,
+    SetTimer,
 )
 from willownotch.lab.recovery.case import Case, Restart
 from willownotch.lab.recovery.destination import STEP_S, Destination, Window
-from willownotch.repeats import RAN
+from willownotch.repeats import RAN_BY_OUTCOME
 from willownotch.state import Ran
 
 CLASSES = (
-    MessageClass("order", 1.0, 2.5, 16.0, 0.3, Effect.KEYED, memory_s=15.0),
-    MessageClass("status", 1.0, 2.5, 28.0, 0.4, Effect.SAFE),
-    MessageClass("fee", 3.0, 2.0, 20.0, 0.3, Effect.UNSAFE),
+    MessageClass("order", 1.0, 2.5, 16.0, 0.3, Idempotency.KEYED, dedup_window_s=15.0),
+    MessageClass("status", 1.0, 2.5, 28.0, 0.4, Idempotency.SAFE),
+    MessageClass("fee", 3.0, 2.0, 20.0, 0.3, Idempotency.UNSAFE),
 )
 SHARES = (0.46, 0.43, 0.11)
 LEAST_SLOTS, LEAST_ROOM = 8, 40
@@ -81,7 +81,7 @@
     owed: dict[str, Handed] = field(default_factory=dict)
     attempts: dict[str, list[Out]] = field(default_factory=dict)
     ended: dict[tuple[str, int], Outcome] = field(default_factory=dict)
-    saved: Remembered = Remembered((), None)  # what the folder has of endpoints
+    saved: SlowStartRecords = SlowStartRecords((), None)  # what the folder has of endpoints
 
 
 @dataclass(frozen=True)
@@ -123,12 +123,12 @@
         self.destination = Destination(case)
         self.settings = Settings(
             classes=CLASSES,
-            kinds=(Kind("partner", case.batch),),
+            kinds=(DestinationKind("partner", case.batch),),
             slots=max(LEAST_SLOTS, int(BUSY_S * case.limit_per_s / case.senders)),
             holding_room=max(LEAST_ROOM, int(HELD_S * case.limit_per_s / case.senders)),
             senders=case.senders,
             max_attempts=TRIES,
-            max_come_back_s=COME_BACK_S,
+            max_retry_after_s=COME_BACK_S,
             handshake_price=0.04,
             keepalive_s=KEEPALIVE_S,
             may_cancel=True,
@@ -195,7 +195,7 @@
                 PastAttempt(
                     out.endpoint,
                     self.now - out.sent_at,
-                    RAN[sender.ended.get((handed.ref, out.number), Outcome.TIMED_OUT)] is not Ran.NEVER,
+                    RAN_BY_OUTCOME[sender.ended.get((handed.ref, out.number), Outcome.TIMED_OUT)] is not Ran.NEVER,
                 )
                 for out in sender.attempts.get(handed.ref, ())
             )
@@ -208,7 +208,7 @@
             1,
             handed.message_class,
             handed.ends_at - self.now,
-            again=bool(past) or handed.tries > 0,
+            is_retry=bool(past) or handed.tries > 0,
             past=past,
         )
 
@@ -217,7 +217,7 @@
         for sender in chosen:
             if sender.controller is None or restart.upgrade:
                 continue  # an upgrade hands the whole controller over: nothing changes here
-            nothing = Remembered((), None)
+            nothing = SlowStartRecords((), None)
             sender.saved = sender.controller.slow_starts() if restart.keeps_folder else nothing
             sender.controller, sender.generation = None, sender.generation + 1
             if not restart.keeps_folder:
@@ -230,7 +230,7 @@
         for action in sender.controller.handle(self.now, events):
             if isinstance(action, Send):
                 self._send(sender, action)
-            elif isinstance(action, Wake):
+            elif isinstance(action, SetTimer):
                 self._at(
                     self.now + action.after_s, self._deliver, sender, sender.generation, Timer(action.label)
                 )
@@ -238,9 +238,9 @@
                 handed = self._forget(sender, action.ref)
                 if handed is not None and isinstance(action, Refuse):
                     self._hand_in_later(handed)
-            elif isinstance(action, CallOff):
+            elif isinstance(action, CancelAttempt):
                 out = sender.attempts[action.ref][action.attempt]
-                self._ends(sender, out, Outcome.CALLED_OFF, 0.02)
+                self._ends(sender, out, Outcome.CANCELLED, 0.02)
 
     def _deliver(self, sender: SimulatedSender, generation: int, event: Event) -> None:
         """Tell a process something, unless it is gone; one that is held hears it later."""
--- a/willownotch/lab/twin/play.py
+++ b/willownotch/lab/twin/play.py
@@ -11,7 +11,7 @@
 import threading
 from pathlib import Path
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.interface import Readiness
 from willownotch.lab.load.hand_in import request
 from willownotch.lab.model.ledger import DRAIN_S, Item, Result
@@ -34,7 +34,7 @@
         self.up = False
         self.open = self.out = 0
         self.seen_failing: dict[int, float] = {}
-        self.told = lambda item, what, come_back_s: None
+        self.told = lambda item, what, retry_after_s: None
         self.discovery = Discovery(story.world, self._noticed)
         self.client = Client(story.world, self._answered)
         self.told_off: dict[int, float] = {}
@@ -67,7 +67,7 @@
                     self.client.port = int(found[1])
                     listening.set()
 
-    def hear_list(self, entries: tuple[face.Endpoint, ...], whole: bool) -> None:
+    def hear_list(self, entries: tuple[api.Endpoint, ...], whole: bool) -> None:
         """News of the list: the sender hears it now."""
         for entry in entries:
             if entry.readiness is Readiness.SERVING:
@@ -92,10 +92,10 @@
         else:  # turned away, or the connection broke
             self.told(item, "refused", wait_s)
 
-    def _noticed(self, ref: str, outcome: str, come_back_s: float) -> None:
+    def _noticed(self, ref: str, outcome: str, retry_after_s: float) -> None:
         item = self.items.get(ref)
         if item is not None:
-            self.told(item, "refused" if outcome == "handed_back" else "failed", come_back_s)
+            self.told(item, "refused" if outcome == "handed_back" else "failed", retry_after_s)
 
     def crash(self) -> None:
         """SIGKILL."""
@@ -103,7 +103,7 @@
         self._process.kill()
         self._process.wait()
 
-    def restart(self, entries: tuple[face.Endpoint, ...]) -> None:
+    def restart(self, entries: tuple[api.Endpoint, ...]) -> None:
         """Back, with the folder that lasts."""
         self.start()
 
@@ -156,7 +156,7 @@
             self._connected,
         )
 
-    def listed(self, entry: face.Endpoint) -> dict:
+    def listed(self, entry: api.Endpoint) -> dict:
         """An entry as the platform writes it."""
         host, port = self.doors[entry.number].listener.address
         partner = self.endpoints[entry.number].partner
@@ -188,9 +188,9 @@
                         "promiseS": c.wanted_s,
                         "hardLimitS": c.deadline_s,
                         "lateShare": c.late_share,
-                        "idempotency": c.effect.value,
-                        "group": c.group.value,
-                        "memorySpanS": c.memory_s,
+                        "idempotency": c.idempotency.value,
+                        "group": c.dedup_scope.value,
+                        "memorySpanS": c.dedup_window_s,
                         "oneAtATime": c.in_order,
                     }
                     for c in self.classes
@@ -204,7 +204,7 @@
                     "maxAttempts": settings.max_attempts,
                     "connectTimeoutS": 1.0,
                     "keepaliveS": settings.keepalive_s,
-                    "maxRetryAfterS": settings.max_come_back_s,
+                    "maxRetryAfterS": settings.max_retry_after_s,
                     "mayCancel": True,
                     "retryAfter": True,
                     "secondCopies": True,
--- a/willownotch/lab/twin/servers.py
+++ b/willownotch/lab/twin/servers.py
@@ -144,7 +144,7 @@
             peer.send(http.write_answer(200, headers))
         elif answer.outcome is Outcome.ERROR:
             peer.send(http.write_answer(500, headers))
-        elif answer.outcome is Outcome.TURNED_AWAY:
+        elif answer.outcome is Outcome.REJECTED:
             if answer.wait_s:
                 headers.append(("Retry-After", f"{answer.wait_s:.3f}"))
             peer.send(http.write_answer(503, headers))
--- a/willownotch/net/bulk.py
+++ b/willownotch/net/bulk.py
@@ -11,7 +11,7 @@
 WORDS = {
     "delivered": (Outcome.DELIVERED, True),
     "failed": (Outcome.ERROR, False),
-    "refused": (Outcome.TURNED_AWAY, False),
+    "refused": (Outcome.REJECTED, False),
     "over": (Outcome.NOT_SENT, True),
     "spent": (Outcome.NOT_SENT, False),
 }
--- a/willownotch/net/client_requests.py
+++ b/willownotch/net/client_requests.py
@@ -55,7 +55,7 @@
         ends_at=arrived + timedelta(milliseconds=int(left)),
         key=keys[0] if keys and cls.in_order else None,
         idempotency_key=idempotency,
-        again="client-retry" in headers,
+        is_retry="client-retry" in headers,
         body=body,
         at=arrived,
         rules=cls,
--- a/willownotch/net/config.py
+++ b/willownotch/net/config.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.net.rules import Rules, rules_of
 
 MOST_PERIOD_S = 0.05  # s between two rounds: a client's answer waits for one
@@ -176,7 +176,7 @@
     seed: int
     limits: Limits
     known: ListNews | None
-    settings: face.Settings
+    settings: api.Settings
     zones: tuple[str, ...]
     connect_time: timedelta
     keepalive: timedelta
@@ -195,20 +195,20 @@
     return host.strip("[]"), int(port)
 
 
-def module_settings(entry: SettingsEntry) -> face.Settings:
+def module_settings(entry: SettingsEntry) -> api.Settings:
     """The module's settings. What no socket can carry (probes, notes between senders) stays off."""
     family, policy, rules = entry.family_info, entry.policy_limits, entry.rules
     apart, batch = family.separate_routes, family.kind_batch
-    return face.Settings(
+    return api.Settings(
         classes=tuple(
-            face.MessageClass(
+            api.MessageClass(
                 c.name,
                 c.credit,
                 c.promise_s,
                 c.hard_limit_s,
                 c.late_share,
-                face.Effect(c.idempotency),
-                face.Group(c.group or "all"),
+                api.Idempotency(c.idempotency),
+                api.DedupScope(c.group or "all"),
                 c.memory_span_s,
                 c.one_at_a_time,
                 c.aim_stretch,
@@ -216,27 +216,27 @@
             for c in entry.services
         ),
         kinds=tuple(
-            face.Kind(name, batch[n] if n < len(batch) else 1, n < len(apart) and apart[n])
+            api.DestinationKind(name, batch[n] if n < len(batch) else 1, n < len(apart) and apart[n])
             for n, name in enumerate(entry.models)
         ),
         slots=family.slots,
         holding_room=policy.max_open,
-        tenants=tuple(face.Tenant(org.name, org.quota_per_s) for org in entry.orgs),
+        tenants=tuple(api.Tenant(org.name, org.quota_per_s) for org in entry.orgs),
         senders=entry.peers_total,
         max_attempts=policy.max_attempts,
-        decay=face.Decay(family.decay),
+        decay=api.Decay(family.decay),
         over_share_worth=entry.over_share_worth,
         zone_fees=tuple(family.fee_by_zone),
         refusal_price=family.refusal_cost,
         waste_price=entry.costs.waste,
         handshake_price=entry.costs.handshake,
         keepalive_s=policy.keepalive_s or inf,
-        max_come_back_s=policy.max_retry_after_s if policy.retry_after else 0.0,
+        max_retry_after_s=policy.max_retry_after_s if policy.retry_after else 0.0,
         may_cancel=policy.may_cancel,
         second_copies=policy.second_copies,
         listed_rates=entry.weight_kind in ("nominal", "rough"),
-        again_is_marked=entry.callers.marks_retry,
-        rules=face.Rules(
+        clients_mark_retries=entry.callers.marks_retry,
+        rules=api.Rules(
             rules.grace_to_answer_s,
             rules.cold_share,
             rules.cold_s,
--- a/willownotch/net/owner.py
+++ b/willownotch/net/owner.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.bodies.plan import Candidate, ending
 from willownotch.bodies.store import Bodies, content
 from willownotch.control import Controller
@@ -59,7 +59,7 @@
 from willownotch.net.rules import class_of
 from willownotch.net.slow_start_file import SlowStartFile
 from willownotch.net.south import END_MARGIN, Relay, RelayEnded
-from willownotch.repeats import RAN
+from willownotch.repeats import RAN_BY_OUTCOME
 from willownotch.state import Ran
 
 if TYPE_CHECKING:
@@ -160,7 +160,7 @@
         self._unwritten: list[Record] = []  # records that the disk did not take
         self._dropped: list[tuple[Owed, Ended]] = []  # ended in this round for the sake of others
 
-    def _settings_of(self, config: Config) -> face.Settings:
+    def _settings_of(self, config: Config) -> api.Settings:
         """Those of the module: whether others can be told is not the platform's to say where peers are."""
         return replace(config.settings, may_tell=True) if self.tells else config.settings
 
@@ -383,7 +383,7 @@
     def _round(self, items: list[Item]) -> None:
         """Events in, one decision, the journal, then the actions: nothing is told before it is written."""
         now = self._round_at = self.clock.now()
-        events: list[face.Event] = []
+        events: list[api.Event] = []
         records: list[Record] = []
         fresh: list[Owed] = []
         if self._parts is not None and time.monotonic() > self._parts.until:
@@ -429,7 +429,7 @@
         return any(isinstance(item, ListNews) and item is not self.config.known for item in items)
 
     def _take(
-        self, item: Item, now: datetime, events: list[face.Event], records: list[Record], fresh: list[Owed]
+        self, item: Item, now: datetime, events: list[api.Event], records: list[Record], fresh: list[Owed]
     ) -> None:
         """One item of the queue, as an event for the module where it is one."""
         if isinstance(item, HandIn):
@@ -457,7 +457,7 @@
             self._make_room(item, now, events)
         elif isinstance(item, TenantParts):
             events += [
-                face.TenantPart(self.tenants[name], part)
+                api.TenantPart(self.tenants[name], part)
                 for name, part in item.parts.items()
                 if name in self.tenants
             ]
@@ -487,51 +487,51 @@
             # Only who handed it in may: the id alone is known to anybody.
             if owed is not None and owed.by is item.pending and not owed.over and not owed.confirmed:
                 records.append(Ended(item.ref, "withdrawn"))
-                events.append(face.Withdrawn(item.ref))
+                events.append(api.Withdrawn(item.ref))
                 self._forget(owed, now)
         else:
             self.stopped_at = now
             self.log.say("stop", "SIGTERM: taking and delivering on until killed")
-            events.append(face.Stopping(seconds(KILL_AFTER)))
+            events.append(api.Stopping(seconds(KILL_AFTER)))
 
-    def _hear(self, found: Parts | Findings, now: datetime, events: list[face.Event]) -> None:
+    def _hear(self, found: Parts | Findings, now: datetime, events: list[api.Event]) -> None:
         """What other senders share, as events for the module."""
         if hasattr(found, "parts"):
             self._parts = found
             events += [
-                face.TenantPart(self.tenants[name], part, name in found.hard)
+                api.TenantPart(self.tenants[name], part, name in found.hard)
                 for name, part in found.parts.items()
                 if name in self.tenants
             ]
             return
         for name, works in found.works:
             if (number := self.hosts.number_listed(name)) is not None:
-                events.append(face.Note(number, works))
+                events.append(api.PeerJudgement(number, works))
                 self.log.say("shared", f"{name} {'works' if works else 'fails'}, by what others say")
         events += [
-            face.ProbeEnded(number, face.Outcome.NOT_SENT, 0.0, limit_per_s=limit)
+            api.ProbeEnded(number, api.Outcome.NOT_SENT, 0.0, limit_per_s=limit)
             for name, limit in found.limits
             if (number := self.hosts.number_listed(name)) is not None
         ]
 
-    def _unheard(self, events: list[face.Event]) -> None:
+    def _unheard(self, events: list[api.Event]) -> None:
         """Nothing was heard of budgets for too long: only what is never lent may be spent."""
         told, self._parts = self._parts, None
         events += [
-            face.TenantPart(self.tenants[name], min(part, told.floor), name in told.hard)
+            api.TenantPart(self.tenants[name], min(part, told.floor), name in told.hard)
             for name, part in told.parts.items()
             if name in self.tenants
         ]
         self.log.say("shared", "parts of budgets are not told any more: only what is never lent is spent")
 
-    def _retune(self, config: Config, events: list[face.Event]) -> None:
+    def _retune(self, config: Config, events: list[api.Event]) -> None:
         """Other settings hold from this round on. Messages in hand keep the rules they were taken under."""
         self.config, self.settings = config, self._settings_of(config)
         self._index()
         self.retuned(config)
         if self.shared is not None:
             self.shared.configure({t.name: t.quota_per_s for t in self.settings.tenants})
-        events.append(face.Retuned(self.settings))
+        events.append(api.SettingsChanged(self.settings))
         self.log.say(
             "retune",
             f"new settings hold: classes {', '.join(self.classes)}, "
@@ -539,17 +539,17 @@
             f"{self.settings.holding_room}; {self._open} messages in hand keep the rules they have",
         )
 
-    def _class(self, taken: Taken) -> face.MessageClass:
+    def _class(self, taken: Taken) -> api.MessageClass:
         """The rules that a message was taken under."""
         if taken.rules is not None:
             return class_of(taken.message_class, taken.rules)
         return self.settings.classes[self.classes[taken.message_class]]
 
     def _repeatable(self, taken: Taken) -> bool:
-        return self._class(taken).effect is not face.Effect.UNSAFE
+        return self._class(taken).idempotency is not api.Idempotency.UNSAFE
 
     def _hand_in(
-        self, item: HandIn, now: datetime, events: list[face.Event], records: list[Record], fresh: list[Owed]
+        self, item: HandIn, now: datetime, events: list[api.Event], records: list[Record], fresh: list[Owed]
     ) -> None:
         taken = item.taken
         if not item.pending.claim():
@@ -611,7 +611,7 @@
         known, ended = self._owed.get(taken.ref), self._unanswered.get(taken.ref, (None, None))[1]
         return (known is not None and bool(known.out)) or (ended is not None and ended.outcome == "given_up")
 
-    def _record_fits(self, taken: Taken, fresh: list[Owed], now: datetime, events: list[face.Event]) -> bool:
+    def _record_fits(self, taken: Taken, fresh: list[Owed], now: datetime, events: list[api.Event]) -> bool:
         """Whether a message's record has room, if need be at the cost of what may be dropped."""
         wanted = [*(owed.taken for owed in fresh), taken]
         if self.journal.fits(wanted):
@@ -637,7 +637,7 @@
             found.append(Candidate(taken.ref, taken.message_class, dest, taken.body_size(), next_s[dest]))
         return found
 
-    def _make_room(self, item: MakeRoom, now: datetime, events: list[face.Event]) -> None:
+    def _make_room(self, item: MakeRoom, now: datetime, events: list[api.Event]) -> None:
         """End what may be dropped, so that a body worth more finds room."""
         if not item.pending.claim():
             return
@@ -651,7 +651,7 @@
         for candidate in chosen:
             self._drop(candidate, taken, now, events)
 
-    def _drop(self, candidate: Candidate, taken: Taken, now: datetime, events: list[face.Event]) -> None:
+    def _drop(self, candidate: Candidate, taken: Taken, now: datetime, events: list[api.Event]) -> None:
         self._end_without_body(
             self._owed[candidate.ref],
             f"of {candidate.size} bytes makes room for {taken.message_class} " f"{taken.ref}",
@@ -660,7 +660,7 @@
         )
 
     def _end_without_body(
-        self, owed: Owed, why: str, now: datetime, events: list[face.Event], last: RelayEnded | None = None
+        self, owed: Owed, why: str, now: datetime, events: list[api.Event], last: RelayEnded | None = None
     ) -> None:
         """A message that has no body any more ends here: at once, by a notice, and never as a guess.
 
@@ -673,17 +673,17 @@
             or entry is None
             or any(entry.may_have_run(n) for n in range(entry.count()) if n != number)
         )
-        ran = ran or (last is not None and RAN[last.outcome] is not Ran.NEVER)
+        ran = ran or (last is not None and RAN_BY_OUTCOME[last.outcome] is not Ran.NEVER)
         ended = self._body_ended(owed.taken, ran)
         self.log.say("dropped", f"{ref} {ended.outcome}: its body {why}")
         self._write([ended])
-        events.append(face.Withdrawn(ref))
+        events.append(api.Withdrawn(ref))
         self._dropped.append((owed, ended))
         self._forget(owed, now, remember=ended.outcome == "given_up")
 
     def _body_ended(self, taken: Taken, ran: bool) -> Ended:
-        outcome = ending(self._class(taken).effect, ran)
-        most = span(self.settings.max_come_back_s)
+        outcome = ending(self._class(taken).idempotency, ran)
+        most = span(self.settings.max_retry_after_s)
         retry = millis(min(most, self.bodies.settings.come_back)) if outcome == "handed_back" else 0
         return Ended(taken.ref, outcome, retry or None)
 
@@ -698,27 +698,27 @@
             known.confirmed = True
             item.pending.settle(Answer(Verdict.TAKEN))
 
-    def _message(self, taken: Taken, now: datetime, past: tuple[face.PastAttempt, ...] = ()) -> face.Message:
-        return face.Message(
+    def _message(self, taken: Taken, now: datetime, past: tuple[api.PastAttempt, ...] = ()) -> api.Message:
+        return api.Message(
             taken.ref,
             taken.destination,
             self.classes.get(taken.message_class, 0),
             seconds(taken.ends_at - now),
             self.tenants.get(taken.tenant, 0),
             taken.key,
-            again=taken.again or bool(past),
+            is_retry=taken.is_retry or bool(past),
             past=past,
             rules=self._class(taken),
         )
 
-    def _recall(self, entry: Entry, now: datetime) -> face.Message:
+    def _recall(self, entry: Entry, now: datetime) -> api.Message:
         """A recovered message. What was out at the end may have run; what left no trace never began."""
         past = []
         for number in range(entry.count()):
             opened = entry.opened.get(number)
             ago = seconds(now - opened.at) if opened else 0.0
             host = self.hosts.number(opened.host) if opened else 0
-            past.append(face.PastAttempt(host, ago, entry.may_have_run(number)))
+            past.append(api.PastAttempt(host, ago, entry.may_have_run(number)))
         self._owed[entry.taken.ref] = Owed(entry.taken, count=len(past))
         self._open += 1
         return self._message(entry.taken, now, tuple(past))
@@ -731,7 +731,7 @@
                 self.log.say(
                     "upgrade", f"the process before is gone with {len(left)} calls out: they may " "have run"
                 )
-            return [RelayEnded(relay, face.Outcome.BROKEN, now - relay.begun_at) for relay in left]
+            return [RelayEnded(relay, api.Outcome.BROKEN, now - relay.begun_at) for relay in left]
         relay = self._owed[item.ref].out.get(item.number) if item.ref in self._owed else None
         if relay is None or not relay.remote:
             return []
@@ -739,7 +739,7 @@
         return [item.ended]
 
     def _relay_ended(
-        self, ended: RelayEnded, now: datetime, events: list[face.Event], records: list[Record]
+        self, ended: RelayEnded, now: datetime, events: list[api.Event], records: list[Record]
     ) -> None:
         relay, ref = ended.relay, ended.relay.taken.ref
         owed = self._owed.get(ref)
@@ -747,10 +747,10 @@
             return
         if not owed.over:
             if ended.over:
-                delivered = ended.outcome is face.Outcome.DELIVERED
+                delivered = ended.outcome is api.Outcome.DELIVERED
                 records.append(Ended(ref, "delivered" if delivered else "withdrawn"))
             else:
-                records.append(Closed(ref, relay.number, RAN[ended.outcome] is not Ran.NEVER))
+                records.append(Closed(ref, relay.number, RAN_BY_OUTCOME[ended.outcome] is not Ran.NEVER))
         self.bodies.observe(owed.taken.destination, ended.outcome, ended.wait)
         if self.shared is not None and ended.limit_per_s and relay.host is not None:
             self.shared.limit(time.monotonic(), relay.host.name, ended.limit_per_s)
@@ -762,7 +762,7 @@
                 self._end_without_body(owed, "was kept for one relay only", now, events, ended)
         final = owed.over or ended.over
         events.append(
-            face.AttemptEnded(
+            api.AttemptEnded(
                 ref,
                 relay.number,
                 relay.endpoint,
@@ -773,13 +773,13 @@
                 ended.no_slot,
                 ended.room_left,
                 ended.limit_per_s,
-                ended.unread,
+                ended.unreadable,
             )
         )
         if final:
-            self._forget(owed, now, remember=ended.outcome is face.Outcome.DELIVERED)
+            self._forget(owed, now, remember=ended.outcome is api.Outcome.DELIVERED)
 
-    def _ring(self, now: datetime, events: list[face.Event]) -> None:
+    def _ring(self, now: datetime, events: list[api.Event]) -> None:
         """Timers that are due: the module's, and those of relays still behind a gate."""
         while self._timers and self._timers[0][0] <= now:
             thing = heapq.heappop(self._timers)[2]
@@ -789,9 +789,9 @@
                 waiting = self._gated.get(thing.taken.key or "", [])
                 if thing in waiting:
                     waiting.remove(thing)
-                    self.post(RelayEnded(thing, face.Outcome.NOT_SENT, now - thing.begun_at))
+                    self.post(RelayEnded(thing, api.Outcome.NOT_SENT, now - thing.begun_at))
             else:
-                events.append(face.Timer(thing))
+                events.append(api.Timer(thing))
 
     def _give_up_remote(self, relay: Relay, now: datetime) -> None:
         """Wait no longer for the process before to tell a call's end: it holds a slot and its key."""
@@ -802,18 +802,18 @@
                 f"the process before has not told the end of attempt {relay.number} of "
                 f"{relay.taken.ref}: it may have run",
             )
-            self.post(RelayEnded(relay, face.Outcome.TIMED_OUT, now - relay.begun_at))
+            self.post(RelayEnded(relay, api.Outcome.TIMED_OUT, now - relay.begun_at))
 
     def _endings(
-        self, actions: list[face.Action], records: list[Record], fresh: list[Owed]
+        self, actions: list[api.Action], records: list[Record], fresh: list[Owed]
     ) -> dict[str, Ended]:
         """The module's final answers. One given in the hand-in's own round needs no record and no notice."""
         ends = {}
         for action in actions:
-            if isinstance(action, face.Refuse):
-                retry = millis(span(action.come_back_s)) or None
+            if isinstance(action, api.Refuse):
+                retry = millis(span(action.retry_after_s)) or None
                 ends[action.ref] = Ended(action.ref, "handed_back", retry)
-            elif isinstance(action, face.Fail):
+            elif isinstance(action, api.Fail):
                 ends[action.ref] = Ended(action.ref, "given_up")
         refused = {owed.taken.ref for owed in fresh if owed.taken.ref in ends}
         for owed in fresh:
@@ -919,34 +919,34 @@
                 break
             del self._ended[oldest]
 
-    def _act(self, action: face.Action, now: datetime) -> None:
+    def _act(self, action: api.Action, now: datetime) -> None:
         """Carry one action out."""
-        if isinstance(action, face.Send):
+        if isinstance(action, api.Send):
             self._send(action, now)
-        elif isinstance(action, face.Wake):
+        elif isinstance(action, api.SetTimer):
             heapq.heappush(self._timers, (now + span(action.after_s), next(self._order), action.label))
-        elif isinstance(action, face.CallOff):
+        elif isinstance(action, api.CancelAttempt):
             relay = self._owed[action.ref].out.get(action.attempt) if action.ref in self._owed else None
             if relay is not None:
                 self.call_off(relay)
-        elif isinstance(action, face.CloseIdle):
+        elif isinstance(action, api.CloseIdle):
             self.close_idle(action.endpoint)
-        elif isinstance(action, face.Tell) and self.shared is not None:
+        elif isinstance(action, api.PublishJudgement) and self.shared is not None:
             host = self.hosts.by_number.get(action.endpoint)
             if host is not None:
                 self.shared.found(time.monotonic(), host.name, action.works)
-        elif isinstance(action, face.Log):
+        elif isinstance(action, api.Log):
             self._log_of_module(action)
-        elif not isinstance(action, face.Refuse | face.Fail):
+        elif not isinstance(action, api.Refuse | api.Fail):
             self.log.say("module", f"no way to carry out {type(action).__name__} here")
 
-    def _log_of_module(self, action: face.Log) -> None:
+    def _log_of_module(self, action: api.Log) -> None:
         """A line of the module's, with the name that others know the endpoint by."""
         host = self.hosts.by_number.get(action.endpoint) if action.endpoint is not None else None
         about = f" ({host.name}, destination {host.destination})" if host is not None else ""
         self.log.say("module", action.text + about)
 
-    def _send(self, action: face.Send, now: datetime) -> None:
+    def _send(self, action: api.Send, now: datetime) -> None:
         owed, host = self._owed[action.ref], self.hosts.by_number.get(action.endpoint)
         ends_at = min(now + span(action.time_out_s), owed.taken.ends_at - END_MARGIN)
         relay = Relay(
@@ -963,7 +963,7 @@
         owed.out[relay.number] = relay
         self.log.counters.add("attempt sent", action.phase.value)
         if host is None or owed.unwritten:  # it left the list in this very round
-            self.post(RelayEnded(relay, face.Outcome.NOT_SENT))
+            self.post(RelayEnded(relay, api.Outcome.NOT_SENT))
         elif owed.copying:
             owed.parked.append(relay)
         else:
--- a/willownotch/net/owner_replication.py
+++ b/willownotch/net/owner_replication.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.journal import records as kept_records
 from willownotch.journal.records import Ended, Entry, Record, Taken
 from willownotch.net.events import Answer, Copied, Verdict
@@ -37,7 +37,7 @@
         patience = max(COPY_LEAST, min(self.custody.settings.patience, COPY_MOST - since))
         self.custody.wait(owed.taken.custody, patience, True, lambda ok: self.post(Copied(ref, pending, ok)))
 
-    def _copied(self, item: Copied, now: datetime, events: list[face.Event], records: list[Record]) -> None:
+    def _copied(self, item: Copied, now: datetime, events: list[api.Event], records: list[Record]) -> None:
         owed = self._owed.get(item.ref)
         if owed is None or not owed.copying or owed.by is not item.pending:
             return
@@ -48,11 +48,11 @@
                 self._launch(relay)
         else:
             for relay in parked:
-                self.post(RelayEnded(relay, face.Outcome.NOT_SENT, now - relay.begun_at))
+                self.post(RelayEnded(relay, api.Outcome.NOT_SENT, now - relay.begun_at))
             if not owed.over:
                 owed.pending.settle(Answer(Verdict.BACK_OFF, BACK_OFF))
                 records.append(Ended(item.ref, "withdrawn"))
-                events.append(face.Withdrawn(item.ref))
+                events.append(api.Withdrawn(item.ref))
                 self._forget(owed, now)
         owed.pending = None
 
@@ -63,7 +63,7 @@
             if entry.taken.custody is not None and entry.taken.custody.book == book
         }
 
-    def _take_over(self, won: Won, now: datetime, events: list[face.Event]) -> None:
+    def _take_over(self, won: Won, now: datetime, events: list[api.Event]) -> None:
         """Go on with what another sender, or a former process of this one, held."""
         local = self._in_book(won.book)
         found = {entry.taken.ref: entry for _, entry in won.entries}
@@ -124,7 +124,7 @@
             f"{len(open_ones)} messages, {len(entries) - len(open_ones)} ends; {sure}",
         )
 
-    def _lose_book(self, lost: Lost, now: datetime, events: list[face.Event]) -> None:
+    def _lose_book(self, lost: Lost, now: datetime, events: list[api.Event]) -> None:
         """Drop what another sender has now: it is neither sent nor ended here."""
         local = self._in_book(lost.book)
         self._recovered = self._recovered and [e for e in self._recovered if e.taken.ref not in local]
@@ -137,8 +137,8 @@
                     owed.pending.settle(Answer(Verdict.BACK_OFF, BACK_OFF))
                     owed.copying, owed.pending = False, None
                     for relay in owed.parked:
-                        self.post(RelayEnded(relay, face.Outcome.NOT_SENT, now - relay.begun_at))
-                events.append(face.Withdrawn(ref))
+                        self.post(RelayEnded(relay, api.Outcome.NOT_SENT, now - relay.begun_at))
+                events.append(api.Withdrawn(ref))
                 self._forget(owed, now)
             if self._unanswered.pop(ref, None) is not None:
                 notices += 1
--- a/willownotch/net/registry.py
+++ b/willownotch/net/registry.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.net import http, sockets
 from willownotch.net.clock import Clock, seconds
 from willownotch.net.config import Config, ConfigError, ListedEndpoint, ListNews, read_address
@@ -41,9 +41,9 @@
 GONE_KEPT = timedelta(seconds=60)  # how long a host that left the list keeps its number
 NEWS_MOST = 4 << 20  # bytes of one list of a watch
 READINESS = {
-    "Ready": face.Readiness.SERVING,
-    "Terminating": face.Readiness.DRAINING,
-    "Gone": face.Readiness.GONE,
+    "Ready": api.Readiness.SERVING,
+    "Terminating": api.Readiness.DRAINING,
+    "Gone": api.Readiness.GONE,
 }
 
 
@@ -107,7 +107,7 @@
         number = self._numbers.get(name)
         return number if number in self.by_number else None
 
-    def read(self, news: ListNews) -> tuple[face.EndpointList, list[int]]:
+    def read(self, news: ListNews) -> tuple[api.EndpointList, list[int]]:
         """Discovery's news for the module, and hosts to which no kept connection is of use any more.
 
         An entry that makes no sense is named and left as it was.
@@ -126,9 +126,9 @@
         self._count(before)
         self._forget(before)
         left = [number for number, host in before.items() if host and self.by_number.get(number) != host]
-        return face.EndpointList(tuple(entries), news.snapshot), left
+        return api.EndpointList(tuple(entries), news.snapshot), left
 
-    def _displaced(self, before: dict[int, Host | None]) -> list[face.Endpoint]:
+    def _displaced(self, before: dict[int, Host | None]) -> list[api.Endpoint]:
         """A new host at another's address is another: what was meant for the old one must not reach it.
 
         `before` has what was there of all numbers that may have changed, and gets what is displaced.
@@ -149,7 +149,7 @@
             older += [host for host in hosts if host is not newest]
         for host in older:
             before.setdefault(host.number, self.by_number.pop(host.number))
-        return [face.Endpoint(h.number, h.destination, h.kind, h.zone, face.Readiness.GONE) for h in older]
+        return [api.Endpoint(h.number, h.destination, h.kind, h.zone, api.Readiness.GONE) for h in older]
 
     def _count(self, before: dict[int, Host | None]) -> None:
         """How many hosts a destination has: what came first, since others ask while it is counted."""
@@ -173,7 +173,7 @@
         for name, _ in list(takewhile(lambda item: now - item[1] > GONE_KEPT, self._gone.items())):
             del self._gone[name], self._numbers[name]
 
-    def _entry(self, listed: ListedEndpoint, before: dict[int, Host | None]) -> face.Endpoint:
+    def _entry(self, listed: ListedEndpoint, before: dict[int, Host | None]) -> api.Endpoint:
         if listed.type not in self.kinds:
             raise ValueError(f"unknown type {listed.type!r}")
         if listed.status not in READINESS:
@@ -182,20 +182,20 @@
         address = read_address(listed.address, "its address")
         zone = self.zones.index(listed.zone) if listed.zone in self.zones else 0
         before.setdefault(number, self.by_number.get(number))
-        if readiness is face.Readiness.GONE:
+        if readiness is api.Readiness.GONE:
             self.by_number.pop(number, None)
-            return face.Endpoint(number, listed.group, self.kinds.index(listed.type), zone, readiness)
+            return api.Endpoint(number, listed.group, self.kinds.index(listed.type), zone, readiness)
         self.by_number[number] = Host(
             number,
             listed.name,
             address,
             listed.group,
-            readiness is face.Readiness.SERVING,
+            readiness is api.Readiness.SERVING,
             self.kinds.index(listed.type),
             zone,
             listed.since_ms,
         )
-        return face.Endpoint(
+        return api.Endpoint(
             number, listed.group, self.kinds.index(listed.type), zone, readiness, listed.weight
         )
 
--- a/willownotch/net/rules.py
+++ b/willownotch/net/rules.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from willownotch.interface import Effect, Group, MessageClass
+from willownotch.interface import Idempotency, DedupScope, MessageClass
 
 
 class Rules(msgspec.Struct, frozen=True, array_like=True):
@@ -20,11 +20,11 @@
     wanted_s: float
     deadline_s: float
     late_share: float
-    effect: Effect
-    group: Group
-    memory_s: float
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window_s: float
     in_order: bool
-    stretch: float
+    cost_hint_factor: float
     attempts: int
 
 
@@ -35,11 +35,11 @@
         cls.wanted_s,
         cls.deadline_s,
         cls.late_share,
-        cls.effect,
-        cls.group,
-        cls.memory_s,
+        cls.idempotency,
+        cls.dedup_scope,
+        cls.dedup_window_s,
         cls.in_order,
-        cls.stretch,
+        cls.cost_hint_factor,
         attempts,
     )
 
--- a/willownotch/net/slow_start_file.py
+++ b/willownotch/net/slow_start_file.py
@@ -14,7 +14,7 @@
 
 from willownotch.files.layer import Files
 from willownotch.files.replacing import replace_file
-from willownotch.interface import Remembered, SlowStartRecord
+from willownotch.interface import SlowStartRecords, SlowStartRecord
 from willownotch.net.clock import NONE, Clock
 from willownotch.net.log import Log
 
@@ -35,7 +35,7 @@
 class Kept(msgspec.Struct, array_like=True):
     """The file's content. Times inside rows are the module's seconds, `alive_s` is `alive_at` in these."""
 
-    alive_at: datetime
+    saved_at: datetime
     alive_s: float
     rows: list[Row]
     complete: bool = True  # endpoints that are not named were healthy
@@ -49,20 +49,20 @@
         self._written_at: datetime | None = None
         self._failing = False
 
-    def read(self, number_of: Callable[[str], int]) -> Remembered:
+    def read(self, number_of: Callable[[str], int]) -> SlowStartRecords:
         """What the process before knew, on this process's clock; nothing where it cannot be read."""
         try:
             kept = msgspec.msgpack.decode(self._files.read_whole(self._path), type=Kept)
         except FileNotFoundError:
-            return Remembered((), None)
+            return SlowStartRecords((), None)
         except (OSError, msgspec.MsgspecError) as fault:
             self._log.say("slow start", f"what was known of endpoints cannot be read: {fault}")
-            return Remembered((), None)
+            return SlowStartRecords((), None)
         now = self._clock.now()
-        away = now - kept.alive_at
+        away = now - kept.saved_at
         if away < NONE:  # another boot, with the wall clock set back: its times mean nothing here
-            return Remembered((), None)
-        shift = self._clock.module_s(kept.alive_at) - kept.alive_s
+            return SlowStartRecords((), None)
+        shift = self._clock.module_s(kept.saved_at) - kept.alive_s
         records = tuple(_moved(row.record, number_of(row.name), shift) for row in kept.rows)
         names = ", ".join(f"{row.name} {row.record.state}" for row in kept.rows[:10])
         self._log.say(
@@ -70,19 +70,19 @@
             f"{len(records)} endpoints were known not to be healthy {away.total_seconds():.1f} s ago: "
             f"{names or 'none'}",
         )
-        return Remembered(records, self._clock.module_s(kept.alive_at) if kept.complete else None)
+        return SlowStartRecords(records, self._clock.module_s(kept.saved_at) if kept.complete else None)
 
     def due(self, now: datetime) -> bool:
         """Whether it is time to write."""
         return self._written_at is None or now - self._written_at >= EVERY
 
-    def write(self, known: Remembered, name_of: Callable[[int], str | None], now: datetime) -> None:
+    def write(self, known: SlowStartRecords, name_of: Callable[[int], str | None], now: datetime) -> None:
         """Replace the file. Where that fails the next one is tried: the old one is only older."""
         self._written_at = now
         named = [(name_of(record.endpoint), record) for record in known.records]
         rows = [Row(name, record) for name, record in named if name is not None]
         rows.sort(key=lambda row: STATES_FIRST.index(row.record.state))
-        data = self._encode(rows, known.alive_at is not None, now)
+        data = self._encode(rows, known.saved_at is not None, now)
         while len(data) > BYTES_MOST:
             rows = rows[: len(rows) // 2]
             data = self._encode(rows, False, now)
--- a/willownotch/net/south.py
+++ b/willownotch/net/south.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from willownotch.bodies.store import Bodies, LostError
-from willownotch.interface import Effect, Outcome
+from willownotch.interface import Idempotency, Outcome
 from willownotch.journal.records import Opened, Taken
 from willownotch.net import bulk, http, sockets
 from willownotch.net.clock import NONE, Clock, millis, seconds
@@ -82,7 +82,7 @@
     over: bool = False
     room_left: float | None = None
     limit_per_s: float | None = None
-    unread: bool = False  # an answer came, and nothing can be made of it
+    unreadable: bool = False  # an answer came, and nothing can be made of it
     lost: bool = False  # there is no body to send any more
 
 
@@ -123,11 +123,11 @@
     if status == 200:
         ended.outcome, ended.over = Outcome.DELIVERED, True
     elif status == 429:
-        ended.outcome, ended.wait = Outcome.TURNED_AWAY, read_wait(headers.get("retry-after"))
+        ended.outcome, ended.wait = Outcome.REJECTED, read_wait(headers.get("retry-after"))
     elif status == 503 and headers.get("x-line-busy") == "1":
         ended.outcome, ended.no_slot = Outcome.NOT_SENT, True
     elif status == 503:
-        ended.outcome = Outcome.TURNED_AWAY
+        ended.outcome = Outcome.REJECTED
     elif status in (504, 410):
         ended.outcome, ended.over = Outcome.NOT_SENT, status == 410
     return ended
@@ -506,14 +506,14 @@
         The module asked as it decided; a connection that comes up late can outlast a short window.
         """
         rules, entry = relay.taken.rules, self.journal.live.get(relay.taken.ref)
-        if rules is None or rules.effect is not Effect.KEYED or entry is None:
+        if rules is None or rules.idempotency is not Idempotency.KEYED or entry is None:
             return False
         others = [
             opened.at
             for number, opened in list(entry.opened.items())
             if number != relay.number and entry.may_have_run(number)
         ]
-        return bool(others) and now > min(others) + timedelta(seconds=rules.memory_s) - WINDOW_MARGIN
+        return bool(others) and now > min(others) + timedelta(seconds=rules.dedup_window_s) - WINDOW_MARGIN
 
     def _connection(self, relay: Relay) -> socket.socket | None:
         """A kept connection that is still good, or a new one; None if called off meanwhile."""
@@ -688,14 +688,14 @@
         if parser.status == 200 and not many:  # of many it takes the whole answer to know
             return self._in_time(read_outcome(relay, 200, parser.head.headers if parser.head else {}))
         if relay.called_off:
-            return RelayEnded(relay, Outcome.CALLED_OFF)
+            return RelayEnded(relay, Outcome.CANCELLED)
         if isinstance(fault, http.BadMessageError) or (isinstance(fault, TimeoutError) and parser.begun):
             self.log.say(
                 "spoilt",
                 f"the answer of {relay.host.name} on {relay.taken.ref} cannot be used: "
                 f"{fault or type(fault).__name__}",
             )
-            return RelayEnded(relay, Outcome.ERROR, unread=True)
+            return RelayEnded(relay, Outcome.ERROR, unreadable=True)
         if isinstance(fault, TimeoutError):
             return RelayEnded(relay, Outcome.TIMED_OUT)
         return RelayEnded(relay, Outcome.BROKEN)
--- a/willownotch/pacing.py
+++ b/willownotch/pacing.py
@@ -7,7 +7,7 @@
 
 from math import inf
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.concurrency_limit import FAST_STEP
 from willownotch.slow_start import TOGETHER_LEAST
 from willownotch.state import Unit, follow
@@ -21,23 +21,23 @@
 USED_UP = 0.05  # share of a limit: all of it goes as it is
 
 
-def even_part(unit: Unit, settings: face.Settings) -> float:
+def even_part(unit: Unit, settings: api.Settings) -> float:
     """What each sender gets of a told limit if all get the same."""
     return unit.told_limit / settings.senders
 
 
-def own_part(unit: Unit, settings: face.Settings) -> float:
+def own_part(unit: Unit, settings: api.Settings) -> float:
     """Of the limit as told now, the even part, or what this sender used of it before if that is more."""
     left = min(1.0, unit.told_limit / unit.mean_limit) if unit.mean_limit else 1.0
     return max(even_part(unit, settings), left * (unit.mean_rate or 0.0))
 
 
-def told_start(settings: face.Settings) -> float:
+def told_start(settings: api.Settings) -> float:
     """What a pace on a told limit starts at, x the own part: of few senders one may have far more to send."""
     return PACE_TOLD * (1 + 1 / settings.senders)
 
 
-def told(unit: Unit, limit: float, room: float | None, settings: face.Settings) -> None:
+def told(unit: Unit, limit: float, room: float | None, settings: api.Settings) -> None:
     """Take a limit from an answer. One that fell or is used up paces: refused calls would only hold it so."""
     unit.told_limit = limit
     unit.mean_limit = follow(unit.mean_limit, limit, FAST_STEP, FAST_STEP)
@@ -45,7 +45,7 @@
         unit.pace = told_start(settings) * own_part(unit, settings)
 
 
-def refused(unit: Unit, now: float, settings: face.Settings, bound: bool = False, out: bool = False) -> None:
+def refused(unit: Unit, now: float, settings: api.Settings, bound: bool = False, out: bool = False) -> None:
     """Fast refusals leave F infinite: pace the unit by its mean rate. `bound`: by a told limit; `out`: no."""
     unit.refused_at = now
     if now - unit.cut_at >= PACE_GAP_S and not out:
--- a/willownotch/repeats.py
+++ b/willownotch/repeats.py
@@ -5,23 +5,23 @@
 
 from __future__ import annotations
 
-from willownotch import interface as face
+from willownotch import interface as api
 from willownotch.concurrency_limit import TICK_S
-from willownotch.interface import Effect, Group, Outcome
+from willownotch.interface import Idempotency, DedupScope, Outcome
 from willownotch.state import Job, Ran, Route
 
 # The one table of what an outcome proves an attempt to have done.
-UNSEEN = (Outcome.TURNED_AWAY, Outcome.UNREACHABLE, Outcome.NOT_SENT)
-RAN = {outcome: Ran.NEVER if outcome in UNSEEN else Ran.MAYBE for outcome in Outcome}
+UNSEEN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+RAN_BY_OUTCOME = {outcome: Ran.NEVER if outcome in UNSEEN else Ran.MAYBE for outcome in Outcome}
 
 
 def may_refuse(job: Job) -> bool:
     """Whether handing it back is harmless: nothing ran, or a repeat does nothing anywhere."""
-    known = job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL and not job.outstanding()
-    return known or job.cls.effect is Effect.SAFE or not job.tainted()
+    known = job.cls.idempotency is Idempotency.KEYED and job.cls.dedup_scope is DedupScope.ALL and not job.outstanding()
+    return known or job.cls.idempotency is Idempotency.SAFE or not job.tainted()
 
 
-def may_send(job: Job, route: Route | None, now: float, settings: face.Settings) -> bool:
+def may_send(job: Job, route: Route | None, now: float, settings: api.Settings) -> bool:
     """Whether one more attempt, or a second copy, is allowed at this route (at any, for None)."""
     if not job.attempts:
         return True
@@ -29,10 +29,10 @@
     if spent or job.outstanding() > settings.second_copies:
         return False
     risky = job.tainted()
-    if not risky or job.cls.effect is Effect.SAFE:
+    if not risky or job.cls.idempotency is Idempotency.SAFE:
         return True
     first = risky[0][0]
-    if job.cls.effect is Effect.UNSAFE or now > first.sent_at + job.cls.memory_s - TICK_S:
+    if job.cls.idempotency is Idempotency.UNSAFE or now > first.sent_at + job.cls.dedup_window_s - TICK_S:
         return False
-    near = job.cls.group is Group.ZONE and route and route.entry.zone == first.route.entry.zone
-    return route in (None, first.route) or job.cls.group is Group.ALL or near
+    near = job.cls.dedup_scope is DedupScope.ZONE and route and route.entry.zone == first.route.entry.zone
+    return route in (None, first.route) or job.cls.dedup_scope is DedupScope.ALL or near
--- a/willownotch/state.py
+++ b/willownotch/state.py
@@ -219,14 +219,14 @@
     """The record of a new message on this sender's clock, dated back to its first hand-in or not."""
     ends_at = now + message.time_left_s
     began_at = ends_at - cls.deadline_s if dated_back else now
-    wanted_at = began_at + cls.wanted_s + cls.stretch * message.cost_hint_s
+    wanted_at = began_at + cls.wanted_s + cls.cost_hint_factor * message.cost_hint_s
     key = message.key if cls.in_order else None
     return Job(
         message.ref, message.destination, cls, key, now, ends_at, min(wanted_at, ends_at), worth=cls.worth
     )
 
 
-class Book:
+class Store:
     """All that is in hand: jobs until answered and without attempts out, the list, calls in flight."""
 
     def __init__(self, settings: Settings) -> None:
@@ -262,7 +262,7 @@
             route = None
         if route is None:
             dest = self.destinations.setdefault(entry.destination, Destination())
-            apart = self.settings.kinds[entry.kind].routes_apart
+            apart = self.settings.kinds[entry.kind].separate_routes
             unit = Unit(now) if apart or dest.unit is None else dest.unit
             dest.unit = None if apart else unit  # what was told outlives the endpoints that told it
             route = self.routes[entry.number] = dest.routes[entry.number] = Route(entry, unit, now)
