--- a/benchmarks/bodies_store.py
+++ b/benchmarks/bodies_store.py
@@ -19,11 +19,11 @@
 
 from rig import spread, write
 
-from keeping import CLASSES, Clock, Lines
+from body_store_rig import CLASSES, Clock, Lines
 from willownotch.bodies.settings import BodiesSettings
 from willownotch.files.layer import REAL
 from willownotch.net.folder import open_folder
-from willownotch.journal.records import Ended, Taken
+from willownotch.journal.records import MessageEnded, AcceptedMessage
 
 DISK = 8_000_000_000
 
@@ -37,7 +37,7 @@
 
 def message(n, body, clock):
     """One of many."""
-    return Taken(
+    return AcceptedMessage(
         f"{n:016x}",
         n % 1000,
         "order",
@@ -70,12 +70,12 @@
         waits.append((time.perf_counter() - at) * 1e6)
         assert kept.place is not None
         at = time.perf_counter()
-        journal.bodies.entered(kept)  # all that the owner does for a body when it takes the message on
+        journal.bodies.body_recorded(kept)  # all that the owner does for a body when it takes the message on
         owner.append((time.perf_counter() - at) * 1e6)
         journal.append([kept])
     reads = []
     for n in range(0, count, max(1, count // 1000)):
-        taken = journal.live[f"{n:016x}"].taken
+        taken = journal.live[f"{n:016x}"].message
         at = time.perf_counter()
         bodies.read(taken)
         reads.append((time.perf_counter() - at) * 1e6)
@@ -90,7 +90,7 @@
     journal, bodies, lost = opened(folder)
     took = time.perf_counter() - at
     assert not lost
-    live = [entry.taken for entry in journal.live.values()]
+    live = [entry.message for entry in journal.live.values()]
     again = type(bodies)(
         bodies.folder, REAL, bodies.space, bodies.clock, bodies.log, CLASSES, bodies.settings
     )
@@ -111,7 +111,7 @@
             import msgspec
 
             for entry in journal.live.values():
-                entry.taken = msgspec.structs.replace(entry.taken, place=None)
+                entry.message = msgspec.structs.replace(entry.message, place=None)
             bodies.segments.clear()
         gc.collect()
         size, count = tracemalloc.get_traced_memory()[0], len(journal.live)
@@ -130,12 +130,12 @@
     threading.Thread(target=bodies.run, daemon=True).start()
     times = []
     for n in range(min(count, 2000)):
-        taken = journal.live[f"{n:016x}"].taken
+        taken = journal.live[f"{n:016x}"].message
         at = time.perf_counter()
-        bodies.left(taken)
+        bodies.body_released(taken)
         times.append((time.perf_counter() - at) * 1e6)
         bodies.usage.add(taken.message_class, taken.destination, taken.place.size)  # told again below
-        journal.append([Ended(taken.ref, "delivered")])
+        journal.append([MessageEnded(taken.ref, "delivered")])
     journal.close()
     return times
 
--- a/benchmarks/capacity/client_journal.py
+++ b/benchmarks/capacity/client_journal.py
@@ -128,11 +128,11 @@
             host.close()
 
 
-def taken(number: int) -> records.Taken:
+def taken(number: int) -> records.AcceptedMessage:
     """A message that is owed."""
     ref = f"{number:016x}"
     now = datetime.now(UTC)
-    return records.Taken(
+    return records.AcceptedMessage(
         ref,
         number % 60_000,
         "status",
--- a/tests/dying.py
+++ b/tests/body_store_crashes.py
@@ -15,10 +15,10 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-from keeping import Rig, body_of  # noqa: E402
+from body_store_rig import Rig, body_of  # noqa: E402
 
 from willownotch.files.faulty import Fault, Faulty, Kind  # noqa: E402
-from willownotch.journal.records import Taken  # noqa: E402
+from willownotch.journal.records import AcceptedMessage  # noqa: E402
 
 
 def story(folder, files, say):
@@ -27,7 +27,7 @@
     for turn in range(2):
         for n in range(14):
             ref, size = f"t{turn}m{n}", 1000 + 700 * n
-            if isinstance(rig.hand_in(ref, size, "fee" if n % 5 else "order"), Taken):
+            if isinstance(rig.hand_in(ref, size, "fee" if n % 5 else "order"), AcceptedMessage):
                 say(f"owed {ref} {size}")
             if n % 3 == 2 and ref in rig.journal.live:
                 rig.relay(ref)
@@ -87,7 +87,7 @@
     if order != [ref for ref in owed if ref in rig.journal.live]:
         found.append(f"out of order: {order}")
     for ref, entry in rig.journal.live.items():
-        size = owed.get(ref, entry.taken.place.size if entry.taken.place else len(entry.taken.body))
+        size = owed.get(ref, entry.message.place.size if entry.message.place else len(entry.message.body))
         if rig.read(ref) != body_of(ref, size):
             found.append(f"{ref} has another body")
     if rig.on_disk() > rig.disk:
--- a/tests/keeping.py
+++ b/tests/body_store_rig.py
@@ -10,7 +10,7 @@
 from willownotch.bodies.settings import BodiesSettings
 from willownotch.files.layer import REAL
 from willownotch.interface import Idempotency, MessageClass
-from willownotch.journal.records import Ended, Opened, Taken
+from willownotch.journal.records import MessageEnded, RelayStarted, AcceptedMessage
 from willownotch.net.folder import open_folder
 
 CLASSES = (
@@ -91,7 +91,7 @@
 
     def hand_in(self, ref, size, cls="status", destination=7):
         """The message if it was taken on, else the admission that says why not."""
-        taken = Taken(
+        taken = AcceptedMessage(
             ref,
             destination,
             cls,
@@ -101,7 +101,7 @@
             body=body_of(ref, size),
         )
         found = self.bodies.keep(taken, PATIENCE)
-        if isinstance(found, Taken):
+        if isinstance(found, AcceptedMessage):
             try:
                 self.journal.append([found])
             except (OSError, RuntimeError):
@@ -110,13 +110,13 @@
         return found
 
     def relay(self, ref, number=0):
-        self.journal.append([Opened(ref, number, self.clock.now(), "s-1")])
+        self.journal.append([RelayStarted(ref, number, self.clock.now(), "s-1")])
 
     def end(self, ref, outcome="delivered"):
-        self.journal.append([Ended(ref, outcome)])
+        self.journal.append([MessageEnded(ref, outcome)])
 
     def read(self, ref):
-        return self.bodies.read(self.journal.live[ref].taken)
+        return self.bodies.read(self.journal.live[ref].message)
 
     def work(self):
         """All that the store's thread has to do."""
--- a/tests/test_bodies_plan.py
+++ b/tests/test_bodies_plan.py
@@ -9,7 +9,7 @@
     Candidate,
     Limits,
     Line,
-    Outlook,
+    DeliveryForecast,
     SegmentView,
     Step,
     Steps,
@@ -80,9 +80,9 @@
 
 def test_what_is_asked_of_others_is_no_more_than_lacks():
     found = plan.admit(PLANS, LIMITS, usage(status=950), False, "fee", 1, 120)
-    assert (found.need, found.destination) == (70, None)
+    assert (found.bytes_needed, found.destination) == (70, None)
     found = plan.admit(PLANS, LIMITS, usage(status=450), False, "fee", 100, 120)
-    assert (found.need, found.destination) == (70, 100)
+    assert (found.bytes_needed, found.destination) == (70, 100)
 
 
 @pytest.mark.parametrize(("step", "most"), [(Step.MEMORY, 100), (Step.FILES, 10), (Step.UNKEPT, 10)])
@@ -156,7 +156,7 @@
         found = plan.admit(PLANS, LIMITS, held, False, cls, destination, size)
         if found.verdict is DROP:
             others = [b for b in bodies.values() if b.cls == "status"]
-            chosen = plan.victims(PLANS, LIMITS.room, held, cls, found.need, others, found.destination)
+            chosen = plan.victims(PLANS, LIMITS.room, held, cls, found.bytes_needed, others, found.destination)
             for victim in chosen:
                 del bodies[victim.ref]
                 held.add(victim.cls, victim.destination, -victim.size)
@@ -165,7 +165,7 @@
                 assert found.verdict in (KEEP, DROP)
             else:
                 there = [b.size for b in others if found.destination in (None, b.destination)]
-                assert sum(sorted(there, reverse=True)[: plan.VICTIMS_MOST]) < found.need
+                assert sum(sorted(there, reverse=True)[: plan.VICTIMS_MOST]) < found.bytes_needed
         if found.verdict is KEEP:
             bodies[body.ref] = body
             held.add(cls, destination, size)
@@ -207,7 +207,7 @@
 
 def test_when_a_destination_wants_its_next_body():
     """What is silent is wanted later than what delivers; the last in line later than the first."""
-    quick, slow, silent, told = Outlook(), Outlook(), Outlook(), Outlook()
+    quick, slow, silent, told = DeliveryForecast(), DeliveryForecast(), DeliveryForecast(), DeliveryForecast()
     for n in range(50):
         quick.delivered(n * 0.1)
         slow.delivered(n * 1.0)
@@ -216,10 +216,10 @@
     silent.failed(3.0)
     told.failed(5.0, wait_s=4.5)
     now = 5.0
-    assert quick.next_s(now, 0) < slow.next_s(now, 0) < silent.next_s(now, 0) < told.next_s(now, 0)
-    assert quick.next_s(now, 9) == pytest.approx(10 * quick.next_s(now, 0))
+    assert quick.expected_wait_s(now, 0) < slow.expected_wait_s(now, 0) < silent.expected_wait_s(now, 0) < told.expected_wait_s(now, 0)
+    assert quick.expected_wait_s(now, 9) == pytest.approx(10 * quick.expected_wait_s(now, 0))
     silent.delivered(6.0)
-    assert silent.next_s(6.0, 0) < 2.0  # what answers again is near again
+    assert silent.expected_wait_s(6.0, 0) < 2.0  # what answers again is near again
 
 
 @pytest.mark.parametrize(
@@ -249,4 +249,4 @@
     ],
 )
 def test_how_a_message_without_a_body_ends(effect, ran, word):
-    assert plan.ending(effect, ran) == word
+    assert plan.outcome_without_body(effect, ran) == word
--- a/tests/test_bodies_store.py
+++ b/tests/test_bodies_store.py
@@ -15,14 +15,14 @@
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from keeping import Rig, body_of
+from body_store_rig import Rig, body_of
 from harness import ROOT, until
 
 from willownotch.bodies.plan import Admission, Step, Verdict
-from willownotch.bodies.store import LostError
+from willownotch.bodies.store import BodyLostError
 from willownotch.files.faulty import Fault, Faulty, Kind
 from willownotch.interface import Outcome
-from willownotch.journal.records import Ended, Noticed, Taken
+from willownotch.journal.records import MessageEnded, NoticeAnswered, AcceptedMessage
 from willownotch.net.pending import PendingReply
 
 LONG = bool(os.environ.get("WILLOWNOTCH_LONG"))
@@ -45,7 +45,7 @@
             space.bodies, sum(-(-file.stat().st_size // 512) * 512 for file in rig.folder.glob("bod*"))
         )
         self.assertLessEqual(rig.on_disk(), rig.disk)
-        live = [e.taken.place for e in rig.journal.live.values() if e.taken.place]
+        live = [e.message.place for e in rig.journal.live.values() if e.message.place]
         self.assertEqual(rig.bodies.usage.total, sum(place.size for place in live))
 
 
@@ -60,7 +60,7 @@
                 break
             self.assertLessEqual(rig.bodies.usage.memory, 50_000)
         self.assertEqual(steps, {Step.MEMORY, Step.FILES, Step.UNKEPT})
-        unkept = [e.taken.ref for e in rig.journal.live.values() if e.taken.unkept]
+        unkept = [e.message.ref for e in rig.journal.live.values() if e.message.unkept]
         self.assertIn("no memory for one try", found.reason)
         for ref, entry in rig.journal.live.items():  # wherever it stands, its bytes are its own
             self.assertEqual(rig.read(ref), body_of(ref, 9000), entry)
@@ -91,7 +91,7 @@
         for n in range(2):
             rig.hand_in(f"quick{n}", 10_000, destination=2)
         held = {place for place in rig.bodies._cache}
-        inside = [ref for ref, e in rig.journal.live.items() if e.taken.place in held]
+        inside = [ref for ref, e in rig.journal.live.items() if e.message.place in held]
         self.assertEqual(inside, ["silent0", "silent1", "silent2", "quick0", "quick1"])
 
     def test_what_is_worth_more_asks_for_room_where_others_have_it(self):
@@ -103,14 +103,14 @@
         found = rig.hand_in("fee", 9000, "fee", destination=9)
         self.assertEqual(found.verdict, Verdict.DROP_FIRST)
         rig.end("s0", "handed_back")
-        taken = Taken("fee", 9, "fee", "acme", rig.clock.now(), body=body_of("fee", 9000))
+        taken = AcceptedMessage("fee", 9, "fee", "acme", rig.clock.now(), body=body_of("fee", 9000))
         self.assertIsNotNone(rig.bodies.keep(taken, timedelta(seconds=1), last=True).place)
 
     def test_an_open_id_with_another_body_never_gets_it(self):
         """Were bytes in memory found by id, the first's relay would send the second hand-in's."""
         rig = self.rig()
         rig.hand_in("a", 9000)
-        second = Taken("a", 7, "status", "acme", rig.clock.now(), body=b"x" * 8000)
+        second = AcceptedMessage("a", 7, "status", "acme", rig.clock.now(), body=b"x" * 8000)
         kept = rig.bodies.keep(second, timedelta(seconds=1))
         self.assertEqual(rig.read("a"), body_of("a", 9000))
         rig.bodies.discard(kept)
@@ -140,13 +140,13 @@
         """One live body in each file held up all the room that the dead ones around it took."""
         rig = self.rig(reclaim=1.0, destination_share=1.0)
         taken = []
-        while isinstance(found := rig.hand_in(f"m{len(taken)}", 4000, "order"), Taken):
+        while isinstance(found := rig.hand_in(f"m{len(taken)}", 4000, "order"), AcceptedMessage):
             taken.append(found.ref)
         for n, ref in enumerate(taken):
             if n % 4:
                 rig.end(ref)
         for n in range(len(taken) // 2):
-            self.assertIsInstance(rig.hand_in(f"n{n}", 4000, "order"), Taken, n)
+            self.assertIsInstance(rig.hand_in(f"n{n}", 4000, "order"), AcceptedMessage, n)
         self.assertGreater(rig.bodies.moves, 0)
         rig.restart()  # from the files alone
         for ref in rig.journal.live:
@@ -156,7 +156,7 @@
     def test_a_body_that_moves_while_it_is_read_is_found(self):
         rig = self.rig()
         rig.hand_in("a", 4000)
-        old = rig.journal.live["a"].taken
+        old = rig.journal.live["a"].message
         rig.bodies._uncache(old.place, 7)
         for n in range(3):
             rig.hand_in(f"m{n}", 4000)
@@ -164,7 +164,7 @@
         for n in range(3):
             rig.end(f"m{n}")
         rig.work()
-        self.assertNotEqual(rig.journal.live["a"].taken.place, old.place)
+        self.assertNotEqual(rig.journal.live["a"].message.place, old.place)
         self.assertEqual(rig.bodies.read(old), body_of("a", 4000))  # as a relay has it from before
 
     def test_a_damaged_body_is_told_and_not_copied(self):
@@ -183,7 +183,7 @@
 
 def spoil(rig, ref):
     """Change one byte of a body on the disk."""
-    place = rig.journal.live[ref].taken.place
+    place = rig.journal.live[ref].message.place
     rig.bodies._uncache(place, 7)
     with (rig.folder / f"bodies-{place.segment}").open("r+b") as file:
         file.seek(place.offset + place.size // 2)
@@ -195,9 +195,9 @@
         rig = self.rig()
         for n in range(10):
             rig.hand_in(f"m{n}", 6000)
-        self.files.trail.clear()
+        self.files.operations.clear()
         rig.restart()
-        touched = {op for _, op, name in self.files.trail if name.startswith("bodies-")}
+        touched = {op for _, op, name in self.files.operations if name.startswith("bodies-")}
         self.assertEqual(touched, {"size"})
         self.assertEqual((rig.lost, len(rig.journal.live)), ([], 10))
         self.assertEqual(rig.read("m3"), body_of("m3", 6000))
@@ -214,11 +214,11 @@
         rig.restart()
         self.assertEqual(rig.lost, ["m0", "m1", "m2", "m4", "m5"])
         self.assertEqual(rig.read("m3"), body_of("m3", 5000))
-        with self.assertRaises(LostError):
+        with self.assertRaises(BodyLostError):
             rig.read("m7")
         for ref in [*rig.lost, "m7"]:
             rig.end(ref, "given_up")
-            rig.journal.append([Noticed(ref)])
+            rig.journal.append([NoticeAnswered(ref)])
         rig.work()
         self.ledger_is_true(rig)
 
@@ -236,7 +236,7 @@
         body = body_of("old", 5000)
         (rig.folder / "body-9-1").write_bytes(body)
         rig.journal.append(
-            [Taken("old", 7, "fee", "acme", rig.clock.now(), apart="body-9-1", checksum=zlib.crc32(body))]
+            [AcceptedMessage("old", 7, "fee", "acme", rig.clock.now(), legacy_file="body-9-1", checksum=zlib.crc32(body))]
         )
         rig.restart()
         self.assertEqual(rig.read("old"), body)
@@ -247,9 +247,9 @@
     def test_what_was_never_kept_is_known_to_be_so(self):
         rig = self.rig()
         body = b"x" * 9000
-        rig.journal.append([Taken("u", 7, "status", "acme", rig.clock.now(), body=body, unkept=True)])
+        rig.journal.append([AcceptedMessage("u", 7, "status", "acme", rig.clock.now(), body=body, unkept=True)])
         rig.restart()
-        self.assertEqual((rig.journal.live["u"].taken.unkept, rig.journal.live["u"].taken.body), (True, b""))
+        self.assertEqual((rig.journal.live["u"].message.unkept, rig.journal.live["u"].message.body), (True, b""))
 
 
 class Failures(Case):
@@ -260,7 +260,7 @@
         found = [rig.hand_in("fee", 9000, "fee"), rig.hand_in("order", 9000, "order")]
         self.assertEqual([f.verdict for f in found], [Verdict.REFUSE] * 2)
         self.assertTrue(rig.hand_in("status", 9000).unkept)
-        tried = [name for _, op, name in self.files.trail if op == "append" and name.startswith("bod")]
+        tried = [name for _, op, name in self.files.operations if op == "append" and name.startswith("bod")]
         self.assertEqual(len(tried), 2)  # the disk is not asked again at once
         self.ledger_is_true(rig)
         self.faults = []
@@ -273,7 +273,7 @@
         rig = self.rig()
         self.faults = [Fault(Kind.SHORT, "append", "bodies-*")]
         rig.hand_in("a", 9000)
-        self.assertEqual(rig.bodies._read_at(rig.journal.live["a"].taken.place), body_of("a", 9000))
+        self.assertEqual(rig.bodies._read_at(rig.journal.live["a"].message.place), body_of("a", 9000))
         self.faults = [
             Fault(Kind.SHORT, "append", "bodies-*", self.files.count + 1),
             Fault(Kind.IO_ERROR, "append", "bodies-*", self.files.count + 2),
@@ -293,7 +293,7 @@
         self.faults = []
         rig.clock.at += timedelta(seconds=1)
         place = rig.hand_in("c", 5000, "fee").place
-        self.assertNotEqual(place.segment, rig.journal.live["a"].taken.place.segment)
+        self.assertNotEqual(place.segment, rig.journal.live["a"].message.place.segment)
         self.ledger_is_true(rig)
         for ref in ("a", "c"):
             rig.end(ref)
@@ -327,7 +327,7 @@
         rig = self.rig(write_patience=timedelta(milliseconds=90))
         for patience, most in [(200, 90), (40, 40)]:
             with mock.patch.object(PendingReply, "wait", autospec=True, return_value=None) as wait:
-                taken = Taken("a", 7, "fee", "acme", rig.clock.now(), body=b"x" * 9000)
+                taken = AcceptedMessage("a", 7, "fee", "acme", rig.clock.now(), body=b"x" * 9000)
                 rig.bodies.keep(taken, timedelta(milliseconds=patience))
             self.assertEqual(wait.call_args[0][1], timedelta(milliseconds=most))
 
@@ -343,7 +343,7 @@
         self.assertIn("in time", found.reason)
         rig.end("a")
         rig.hand_in("small", 100)
-        rig.bodies.next_s(7)
+        rig.bodies.expected_wait_s(7)
         self.assertEqual(list(rig.journal.live), ["small"])
         self.faults = []
         until(lambda: rig.bodies.usage.total == 0)
@@ -372,7 +372,7 @@
             found = self.rig.hand_in(ref, size, cls, dest)
         except (OSError, RuntimeError):
             return  # no 202
-        if isinstance(found, Taken):
+        if isinstance(found, AcceptedMessage):
             self.owed[ref] = (body_of(ref, size), found.unkept)
 
     @precondition(lambda self: self.owed)
@@ -380,7 +380,7 @@
     def end(self, pick, outcome):
         ref = list(self.owed)[pick % len(self.owed)]
         try:
-            self.rig.journal.append([Ended(ref, outcome), Noticed(ref)])
+            self.rig.journal.append([MessageEnded(ref, outcome), NoticeAnswered(ref)])
         except (OSError, RuntimeError):
             return  # tried again by the owner
         del self.owed[ref]
@@ -415,8 +415,8 @@
         self.rig.restart()
         assert self.rig.lost == []
         for ref in [r for r, (_, unkept) in self.owed.items() if unkept]:
-            assert self.rig.journal.live[ref].taken.unkept
-            self.rig.journal.append([Ended(ref, "handed_back"), Noticed(ref)])
+            assert self.rig.journal.live[ref].message.unkept
+            self.rig.journal.append([MessageEnded(ref, "handed_back"), NoticeAnswered(ref)])
             del self.owed[ref]
 
     @invariant()
@@ -427,7 +427,7 @@
             assert self.rig.read(ref) == body
         assert self.rig.on_disk() <= self.rig.disk
         assert self.rig.bodies.usage.memory <= 20_000 + sum(
-            len(e.taken.body) for e in self.rig.journal.live.values() if not e.taken.unkept
+            len(e.message.body) for e in self.rig.journal.live.values() if not e.message.unkept
         )
         self.faults = faults
 
@@ -446,7 +446,7 @@
 def test_death_at_any_file_operation_loses_no_promise(mode):
     """Of a spill, a read-back, a reclaim and a recovery: the next process opens the folder."""
     done = subprocess.run(
-        [sys.executable, "tests/dying.py", mode, "1"], cwd=ROOT, text=True, capture_output=True, timeout=500
+        [sys.executable, "tests/body_store_crashes.py", mode, "1"], cwd=ROOT, text=True, capture_output=True, timeout=500
     )
     assert done.returncode == 0, done.stdout + done.stderr
     report = json.loads(done.stdout)
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -174,7 +174,7 @@
             kept = []
             folder = tmp_path / f"{kind.name}{number}{operation == '*'}"
             story(folder, Faulty(lambda faults=faults: faults), kept)
-            assert read(folder) == kept, (number, operation, counting.trail[number - 1])
+            assert read(folder) == kept, (number, operation, counting.operations[number - 1])
 
 
 @pytest.mark.parametrize("kind", [Kind.NO_SPACE, Kind.IO_ERROR])
@@ -190,7 +190,7 @@
         folder = tmp_path / f"{kind.name}{number}"
         story(folder, files, kept)
         found = read(folder)
-        assert found[: len(kept)] == kept, (number, counting.trail[number - 1])
+        assert found[: len(kept)] == kept, (number, counting.operations[number - 1])
         # Where it fails until the end, the last that was refused may stand there, but only whole.
         assert found[len(kept) :] in TRIED if files.count < number + 7 else found == kept, number
 
@@ -205,9 +205,9 @@
     with pytest.raises(OSError, match="Input/output"):
         made.append([b"refused"])
     faults.clear()
-    files.trail.clear()
+    files.operations.clear()
     made.append([b"next"])
-    assert [name for _, operation, name in files.trail if operation == "sync"] == ["made", stores.NAME]
+    assert [name for _, operation, name in files.operations if operation == "sync"] == ["made", stores.NAME]
     made.close()
     assert read(tmp_path / "made") == [b"new", b"next"]
 
@@ -230,7 +230,7 @@
         with pytest.raises(KilledError):
             story(folder, Faulty(lambda number=number: [Fault(kind, number=number)], kill), kept)
         found = read(folder)
-        assert found[: len(kept)] == kept, (number, counting.trail[number - 1])
+        assert found[: len(kept)] == kept, (number, counting.operations[number - 1])
         # What was under way may be there, too, but only whole.
         assert found[len(kept) :] in TRIED
 
@@ -274,13 +274,13 @@
 def test_a_write_is_synced_before_it_counts(tmp_path):
     files = Faulty()
     made, _ = opened(tmp_path / "made", files)
-    files.trail.clear()
+    files.operations.clear()
     made.append([b"x"])
-    assert [operation for _, operation, _ in files.trail] == ["append", "sync"]
-    files.trail.clear()
+    assert [operation for _, operation, _ in files.operations] == ["append", "sync"]
+    files.operations.clear()
     made.rewrite([b"x"])
-    trail = [operation for _, operation, _ in files.trail]
-    assert trail.index("sync") < trail.index("replace") < len(trail) - 1 - trail[::-1].index("sync")
+    operations = [operation for _, operation, _ in files.operations]
+    assert operations.index("sync") < operations.index("replace") < len(operations) - 1 - operations[::-1].index("sync")
     made.close()
 
 
@@ -299,8 +299,8 @@
     files = Faulty()
     made, _ = opened(tmp_path / "made", files)
     payloads = [bytes([n % 251]) * 100_000 for n in range(40)]
-    files.trail.clear()
+    files.operations.clear()
     made.rewrite(iter(payloads))
-    assert 4 <= sum(operation == "append" for _, operation, _ in files.trail) <= 6
+    assert 4 <= sum(operation == "append" for _, operation, _ in files.operations) <= 6
     made.close()
     assert read(tmp_path / "made") == payloads
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from harness import PATIENCE, SETTINGS, Discovery, Host, Sender, until
 
 from willownotch.interface import Outcome
-from willownotch.journal.records import Entry, Opened, Taken
+from willownotch.journal.records import Entry, RelayStarted, AcceptedMessage
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net import client_side, http, registry, sockets
 from willownotch.net import config as configs
@@ -120,7 +120,7 @@
     monkeypatch.setattr(Client, "waits", crossed)
     ClientSide._end(client, cut=cut)
     until(lambda: client not in clients.client_side._clients)
-    assert [item.taken.ref for item in clients.handed] == ["a1"]
+    assert [item.message.ref for item in clients.handed] == ["a1"]
     sock.close()
 
 
@@ -135,7 +135,7 @@
     assert client.ending and not client.shut
     answer = rest(sock)
     assert b"202 Accepted" in answer and b"Connection: close" in answer
-    assert [item.taken.ref for item in clients.handed] == ["a1", "a2"]
+    assert [item.message.ref for item in clients.handed] == ["a1", "a2"]
 
 
 def test_bytes_behind_the_last_request_do_not_eat_its_answer(clients):
@@ -292,7 +292,7 @@
 def test_an_id_that_the_journal_has_is_taken_on_before_the_start_is_done():
     """Killed before its 202 was out, it came again on a new connection, was turned away as too early, and
     came a third time under another id: two messages were owed for one."""
-    clock, known = Clock(), Taken("a1", 7, "status", "acme", Clock().now() + SPAN)
+    clock, known = Clock(), AcceptedMessage("a1", 7, "status", "acme", Clock().now() + SPAN)
     decision_loop = DecisionLoop(
         config(),
         clock,
@@ -325,9 +325,9 @@
     hosts, bodies = SimpleNamespace(listed=lambda dest: True), SimpleNamespace(discard=lambda taken: None)
     decision_loop = DecisionLoop(config(), clock, Log(clock), None, hosts, bodies, lifecycle)
     decision_loop._recovered = None
-    taken = Taken("a1", 7, message_class, "acme", clock.now() + SPAN)
+    taken = AcceptedMessage("a1", 7, message_class, "acme", clock.now() + SPAN)
     relay = Relay(taken, 0, 1, None, clock.now(), clock.now() + SPAN)
-    decision_loop._outstanding["a1"] = Owed(taken, count=1, out={0: relay}, over=True)
+    decision_loop._outstanding["a1"] = Owed(taken, count=1, active_relays={0: relay}, over=True)
     pending = PendingReply()
     decision_loop._take(HandIn(taken, pending), clock.now(), [], [], [])
     assert pending.wait(SPAN, SPAN).verdict is verdict
@@ -436,7 +436,7 @@
 
     def make(self, **more):
         now = self.now()
-        taken = Taken("a1", 7, "fee", "acme", now + SPAN)
+        taken = AcceptedMessage("a1", 7, "fee", "acme", now + SPAN)
         begun_at = more.pop("begun_at", now)
         relay = Relay(taken, 0, 1, self.listed, begun_at, now + SPAN, **more)
         self.endpoint_side.submit(relay)
@@ -486,8 +486,8 @@
     now = calls.now()
     table = [(rules.dedup_window_s - 0.5, Outcome.DELIVERED), (rules.dedup_window_s + 0.5, Outcome.NOT_SENT)]
     for ago, outcome in table:
-        taken = Taken("a1", 7, "order", "acme", now + SPAN, rules=rules)
-        entry = Entry(taken, 0, opened={0: Opened("a1", 0, now - timedelta(seconds=ago), "s-1")})
+        taken = AcceptedMessage("a1", 7, "order", "acme", now + SPAN, rules=rules)
+        entry = Entry(taken, 0, started={0: RelayStarted("a1", 0, now - timedelta(seconds=ago), "s-1")})
         calls.endpoint_side.journal.live = {"a1": entry}
         calls.endpoint_side.submit(Relay(taken, 1, 1, calls.listed, now, now + SPAN))
         assert until(lambda: calls.ended).pop().outcome is outcome, ago
--- a/tests/test_files_replaced.py
+++ b/tests/test_files_replaced.py
@@ -8,7 +8,7 @@
 from willownotch.files.layer import Files
 from willownotch.files.replacing import replace_file
 from willownotch.files.space import Space
-from willownotch.journal.records import Ended, Opened, Taken, frame
+from willownotch.journal.records import MessageEnded, RelayStarted, AcceptedMessage, frame
 from willownotch.net.journal import NAME, Journal
 from willownotch.net.timebase import Origin, continues
 
@@ -17,7 +17,7 @@
 
 
 def taken(ref, at=NOW, left=timedelta(seconds=8)):
-    return Taken(ref, 7, "status", "acme", at + left, body=b"hello", at=at)
+    return AcceptedMessage(ref, 7, "status", "acme", at + left, body=b"hello", at=at)
 
 
 class Failing(Files):
@@ -77,8 +77,8 @@
 
 
 def test_a_record_cut_at_any_byte_costs_only_itself(tmp_path):
-    whole = [frame(taken("a")), frame(Opened("a", 0, NOW, "h")), frame(taken("b"))]
-    last = frame(Ended("b", "given_up"))
+    whole = [frame(taken("a")), frame(RelayStarted("a", 0, NOW, "h")), frame(taken("b"))]
+    last = frame(MessageEnded("b", "given_up"))
     for cut in range(len(last)):
         (tmp_path / NAME).write_bytes(b"".join(whole) + last[:cut])
         journal = opened(tmp_path)
@@ -92,13 +92,13 @@
     later = NOW + timedelta(hours=1)
     (tmp_path / NAME).write_bytes(
         frame(taken("a", later))
-        + frame(Opened("a", 0, later, "h"))
+        + frame(RelayStarted("a", 0, later, "h"))
         + frame(taken("b", NOW - timedelta(seconds=1)))
     )
     journal = opened(tmp_path)
-    assert journal.live["a"].taken.ends_at == NOW + timedelta(seconds=8)
-    assert journal.live["a"].opened[0].at == NOW
-    assert journal.live["b"].taken.ends_at == NOW + timedelta(seconds=7)
+    assert journal.live["a"].message.ends_at == NOW + timedelta(seconds=8)
+    assert journal.live["a"].started[0].at == NOW
+    assert journal.live["b"].message.ends_at == NOW + timedelta(seconds=7)
     assert any("1 messages have times after now" in fault for fault in journal.faults)
 
 
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -16,7 +16,7 @@
 from willownotch.files.faulty import Fault, Faulty, Kind
 from willownotch.files.layer import REAL
 from willownotch.files.space import Space
-from willownotch.journal.records import Taken, replay
+from willownotch.journal.records import AcceptedMessage, replay
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net.clock import Clock
 from willownotch.net.events import HandIn, Verdict
@@ -39,7 +39,7 @@
 
 def messages(*refs):
     ends_at = Clock().now() + timedelta(seconds=9)
-    return [Taken(ref, 7, "fee", "acme", ends_at) for ref in refs]
+    return [AcceptedMessage(ref, 7, "fee", "acme", ends_at) for ref in refs]
 
 
 def found(folder):
@@ -96,6 +96,6 @@
     striking += faults
     items = [HandIn(taken, PendingReply()) for taken in messages("a", "b", "c", "d")]
     decision_loop._round(items)
-    answers = {item.taken.ref: item.pending.wait(SPAN, SPAN).verdict for item in items}
+    answers = {item.message.ref: item.pending.wait(SPAN, SPAN).verdict for item in items}
     assert set(answers.values()) == {verdict}
     assert [ref for ref in found(tmp_path) if answers[ref] is Verdict.REJECTED] == []
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -14,10 +14,10 @@
 from harness import ROOT, SETTINGS
 
 from willownotch.adapter import read_settings
-from willownotch.files.space import Space, blocks
+from willownotch.files.space import Space, round_to_blocks
 from willownotch.interface import Outcome
 from willownotch.journal import records
-from willownotch.journal.records import Closed, Counted, Ended, Noticed, Opened, Taken
+from willownotch.journal.records import RelayFailed, RelaysCounted, MessageEnded, NoticeAnswered, RelayStarted, AcceptedMessage
 from willownotch.lifecycle import SharedLifecycle
 from willownotch.net import bulk, http
 from willownotch.net import config as configs
@@ -160,7 +160,7 @@
             {},
         )
         endpoint_side = EndpointSide(config, clock, None, None, None, {}, None, None)
-        relay = Relay(taken("a"), 0, 1, None, ENDS, ENDS)
+        relay = Relay(accepted("a"), 0, 1, None, ENDS, ENDS)
         for early, status, outcome in [
             (0.2, 200, Outcome.DELIVERED),
             (0.0, 200, Outcome.TIMED_OUT),
@@ -213,12 +213,12 @@
         return read_message(http.Head(1, "POST", target, headers=headers), b"b", ENDS, self.config)
 
     def test_a_message_is_read(self):
-        taken = self.read(**{"client-retry": "again", "idempotency-key": "i"})
+        accepted = self.read(**{"client-retry": "again", "idempotency-key": "i"})
         self.assertEqual(
-            (taken.ref, taken.destination, taken.key, taken.is_retry, taken.idempotency_key),
+            (accepted.ref, accepted.destination, accepted.key, accepted.is_retry, accepted.idempotency_key),
             ("a1", 7, "k k", True, "i"),
         )
-        self.assertEqual(taken.ends_at - ENDS, timedelta(milliseconds=480))
+        self.assertEqual(accepted.ends_at - ENDS, timedelta(milliseconds=480))
         self.assertIsNone(self.read(**{"request-class": "status"}).key)  # only classes in order have one
 
     def test_what_is_no_message_is_refused(self):
@@ -239,12 +239,12 @@
 
     def test_a_pending_reply_is_settled_by_one_side_only(self):
         """A message whose client was turned away must not be taken on afterwards, nor the reverse."""
-        left, taken = PendingReply(), PendingReply()
+        left, accepted = PendingReply(), PendingReply()
         self.assertIsNone(left.wait(timedelta(0), timedelta(0)))
         self.assertFalse(left.claim())
-        self.assertTrue(taken.claim())
-        taken.settle(Answer(Verdict.ACCEPTED))
-        self.assertEqual(taken.wait(timedelta(0), timedelta(0)).verdict, Verdict.ACCEPTED)
+        self.assertTrue(accepted.claim())
+        accepted.settle(Answer(Verdict.ACCEPTED))
+        self.assertEqual(accepted.wait(timedelta(0), timedelta(0)).verdict, Verdict.ACCEPTED)
 
 
 class Configuration(unittest.TestCase):
@@ -283,8 +283,8 @@
         self.assertEqual(news.feed(b'{"index"'), ([], False))  # a part of a line is no sign of life
 
 
-def taken(ref, body=b"b", key="k"):
-    return Taken(ref, 7, "fee", "acme", ENDS, key, body=body)
+def accepted(ref, body=b"b", key="k"):
+    return AcceptedMessage(ref, 7, "fee", "acme", ENDS, key, body=body)
 
 
 class Journals(unittest.TestCase):
@@ -300,27 +300,27 @@
         return made
 
     def on_disk(self):
-        return sum(blocks(f.stat().st_size) for f in self.folder.iterdir())
+        return sum(round_to_blocks(f.stat().st_size) for f in self.folder.iterdir())
 
     def test_replay(self):
         """Deadline, count, marks and order come back; a relay open at the end may have run."""
         large = b"l" * 5000
         self.open().append(
             [
-                taken("a"),
-                taken("b", large),
-                taken("c"),
-                taken("d"),
-                Opened("a", 0, ENDS, "s"),
-                Closed("a", 0, False),
-                Opened("a", 2, ENDS, "s"),
-                Opened("b", 0, ENDS, "s"),
-                Closed("b", 0, True),
-                Ended("c", "delivered"),
-                Ended("d", "handed_back", 500),
-                taken("e"),
-                Ended("e", "given_up"),
-                Noticed("e"),
+                accepted("a"),
+                accepted("b", large),
+                accepted("c"),
+                accepted("d"),
+                RelayStarted("a", 0, ENDS, "s"),
+                RelayFailed("a", 0, False),
+                RelayStarted("a", 2, ENDS, "s"),
+                RelayStarted("b", 0, ENDS, "s"),
+                RelayFailed("b", 0, True),
+                MessageEnded("c", "delivered"),
+                MessageEnded("d", "handed_back", 500),
+                accepted("e"),
+                MessageEnded("e", "given_up"),
+                NoticeAnswered("e"),
             ]
         )
         for _ in range(2):  # as written, and as written anew
@@ -328,12 +328,12 @@
             self.assertEqual(list(live), ["a", "b", "d"])
             marks = [live["a"].may_have_run(n) for n in range(live["a"].count())]
             self.assertEqual(marks, [False, False, True])
-            self.assertEqual((live["b"].may_have_run(0), live["b"].taken.body), (True, large))
-            self.assertEqual((live["d"].ended.retry_in_ms, live["d"].taken.body), (500, b""))
-            self.assertEqual(live["a"].taken.ends_at, ENDS)
+            self.assertEqual((live["b"].may_have_run(0), live["b"].message.body), (True, large))
+            self.assertEqual((live["d"].ended.retry_in_ms, live["d"].message.body), (500, b""))
+            self.assertEqual(live["a"].message.ends_at, ENDS)
 
     def test_a_torn_tail_at_any_byte_costs_the_last_record_only(self):
-        self.open().append([taken("a"), taken("b")])
+        self.open().append([accepted("a"), accepted("b")])
         path = self.folder / "journal"
         data = path.read_bytes()
         second = data.index(records.MAGIC, 1)
@@ -342,7 +342,7 @@
             self.assertEqual(list(self.open().live), ["a"], cut)
 
     def test_damage_in_the_middle_costs_what_is_damaged(self):
-        self.open().append([taken("a"), taken("b"), taken("c")])
+        self.open().append([accepted("a"), accepted("b"), accepted("c")])
         path = self.folder / "journal"
         data = bytearray(path.read_bytes())
         data[data.index(records.MAGIC, 1) + 20] ^= 1
@@ -359,58 +359,58 @@
         """Old and new file stand side by side while it is written anew; bodies may exceed the disk."""
         made, open_refs = self.open(), []
         for n in range(600):
-            message = taken(f"m{n}", b"z" * (n * 37 % 2000))
+            message = accepted(f"m{n}", b"z" * (n * 37 % 2000))
             if made.fits([message]):
-                made.append([message, Opened(message.ref, 0, ENDS, "s")])
+                made.append([message, RelayStarted(message.ref, 0, ENDS, "s")])
                 open_refs.append(message.ref)
             else:
-                made.append([Ended(open_refs.pop(0), "delivered")])
+                made.append([MessageEnded(open_refs.pop(0), "delivered")])
             new = sum(len(records.frame(r)) for entry in made.live.values() for r in entry.records())
-            self.assertLessEqual(self.on_disk() + blocks(new), 100_000)
+            self.assertLessEqual(self.on_disk() + round_to_blocks(new), 100_000)
         self.assertGreater(len(open_refs), 5)
         self.assertEqual(list(self.open().live), open_refs)
 
     def test_the_reserve_covers_all_records_of_a_message(self):
         """Room promised to a message must hold its whole story, or its end could not be written."""
         for length in (1, 16, 128):
-            message = Taken("r" * length, 7, "fee", "acme", ENDS, "k" * 200, "i" * 100)
+            message = AcceptedMessage("r" * length, 7, "fee", "acme", ENDS, "k" * 200, "i" * 100)
             ref = message.ref
-            end = [Ended(ref, "handed_back", 2000), Noticed(ref), Counted(ref, 12)]
-            room, size = records.reserve(message), sum(len(records.frame(r)) for r in [message, *end])
+            end = [MessageEnded(ref, "handed_back", 2000), NoticeAnswered(ref), RelaysCounted(ref, 12)]
+            room, size = records.bytes_to_reserve(message), sum(len(records.frame(r)) for r in [message, *end])
             for n in range(12):
-                relay = [Opened(ref, n, datetime.now(UTC), "s-5be2a07c"), Closed(ref, n, True)]
+                relay = [RelayStarted(ref, n, datetime.now(UTC), "s-5be2a07c"), RelayFailed(ref, n, True)]
                 size += sum(map(len, map(records.frame, relay)))
-                self.assertLessEqual(size, room + n * records.relay_room(ref), (length, n))
+                self.assertLessEqual(size, room + n * records.relay_record_bytes(ref), (length, n))
 
     def test_as_many_messages_fit_as_a_sender_holds_on_its_busiest_day(self):
         """Room kept for twelve relays of each turned usual clients away at half of the holding room."""
         made = self.open(3_000_000)
         for n in range(980):
-            message = Taken(
+            message = AcceptedMessage(
                 f"{n:016x}", 7, "slot-order", "erongo-haulage", ENDS, "k" * 16, "i" * 32, body=b"z" * 500
             )
             self.assertTrue(made.fits([message]), n)
-            made.append([message, Opened(message.ref, 0, ENDS, "s-5be2a07c"), Closed(message.ref, 0, False)])
+            made.append([message, RelayStarted(message.ref, 0, ENDS, "s-5be2a07c"), RelayFailed(message.ref, 0, False)])
         self.assertEqual(self.open(3_000_000).live[f"{0:016x}"].count(), 1)
 
     def test_relays_leave_room_for_the_ends_of_messages(self):
         """A disk filled up by relays could not record what they came to."""
         made, count = self.open(20_000), 0
-        while made.fits([taken(f"m{count}")]):
-            made.append([taken(f"m{count}")])
+        while made.fits([accepted(f"m{count}")]):
+            made.append([accepted(f"m{count}")])
             count += 1
         with self.assertRaises(JournalFullError):
             for n in range(count * 12):
-                made.append([Opened(f"m{n % count}", n // count, ENDS, "s-5be2a07c")])
-        made.append([Ended(f"m{n}", "handed_back", 2000) for n in range(count)])
-        made.append([Noticed(f"m{n}") for n in range(count)])
+                made.append([RelayStarted(f"m{n % count}", n // count, ENDS, "s-5be2a07c")])
+        made.append([MessageEnded(f"m{n}", "handed_back", 2000) for n in range(count)])
+        made.append([NoticeAnswered(f"m{n}") for n in range(count)])
         self.assertEqual((count > 5, self.open(20_000).live), (True, {}))
 
     def test_messages_of_one_round_are_counted_together(self):
         """Each of many in one round fitted alone, and together they would have overrun the disk."""
         made, together = self.open(), []
-        while made.fits([*together, taken(f"m{len(together)}", b"z" * 3000)]):
-            together.append(taken(f"m{len(together)}", b"z" * 3000))
+        while made.fits([*together, accepted(f"m{len(together)}", b"z" * 3000)]):
+            together.append(accepted(f"m{len(together)}", b"z" * 3000))
         made.append(together)
         self.assertTrue(3 < len(together) < 16)
         self.assertLessEqual(self.on_disk(), 100_000)
@@ -418,9 +418,9 @@
     def test_a_record_that_cannot_fit_is_refused_and_the_rest_stands(self):
         made = self.open(20_000)
         with self.assertRaises(JournalFullError):
-            made.append([taken(f"m{n}", b"z" * 2000) for n in range(20)])
+            made.append([accepted(f"m{n}", b"z" * 2000) for n in range(20)])
         self.assertEqual([f.name for f in self.folder.iterdir()], ["journal"])
-        made.append([taken("a")])
+        made.append([accepted("a")])
         self.assertEqual(list(self.open(20_000).live), ["a"])
 
 
--- a/tests/test_replica_parts.py
+++ b/tests/test_replica_parts.py
@@ -11,7 +11,7 @@
 from willownotch.files.faulty import Faulty, read_faults
 from willownotch.files.layer import REAL
 from willownotch.files.space import Space
-from willownotch.journal.records import Custody, Ended, Opened, Taken, frame
+from willownotch.journal.records import Custody, MessageEnded, RelayStarted, AcceptedMessage, frame
 from willownotch.links.edge import MOST
 from willownotch.peers.seal import Seal
 from willownotch.replica import copies, core, wire
@@ -30,7 +30,7 @@
 
 def taken(ref, body=b"x"):
     ends_at = NOW + timedelta(seconds=20)
-    return Taken(ref, 7, "fee", "acme", ends_at, "k", body=body, custody=Custody("book", 1))
+    return AcceptedMessage(ref, 7, "fee", "acme", ends_at, "k", body=body, custody=Custody("book", 1))
 
 
 def claim(about, term, release=False, closed=False):
@@ -83,8 +83,8 @@
     assert copy.matches(append(1, (1, 1), taken("r2"), taken("r3"))) == 1
     assert copy.matches(append(1, (1, 3), taken("r4"))) is None  # one is missing
     assert copy.matches(append(2, (1, 1), taken("x"))) is None  # another owner's log parts here
-    copy.take(append(1, (1, 2), Ended("r1", "delivered")), 0)
-    assert [entry.taken.ref for _, entry in copy.entries()] == ["r2"]
+    copy.take(append(1, (1, 2), MessageEnded("r1", "delivered")), 0)
+    assert [entry.message.ref for _, entry in copy.entries()] == ["r2"]
 
 
 def test_a_fill_brings_only_ranges_that_differ_and_keeps_the_order():
@@ -95,8 +95,8 @@
             1,
             START,
             *(taken(f"r{n}") for n in range(40)),
-            Opened("r7", 0, NOW, "h"),
-            Ended("r9", "delivered"),
+            RelayStarted("r7", 0, NOW, "h"),
+            MessageEnded("r9", "delivered"),
             taken("r40"),
         ),
         0,
@@ -105,7 +105,7 @@
     ranges = sum(1 << n for n in range(copies.RANGES) if mine[n] != theirs[n])
     assert 0 < bin(ranges).count("1") <= 3
     wanted = [
-        (order, copies.pack(e)) for order, e in new.entries() if ranges >> copies.range_of(e.taken.ref) & 1
+        (order, copies.pack(e)) for order, e in new.entries() if ranges >> copies.range_of(e.message.ref) & 1
     ]
     pieces = list(copies.parts(wanted))
     for n, piece in enumerate(pieces):
@@ -114,7 +114,7 @@
         )
     assert last
     assert copies.digests(old.entries()) == mine
-    assert [e.taken.ref for _, e in old.entries()] == [e.taken.ref for _, e in new.entries()]
+    assert [e.message.ref for _, e in old.entries()] == [e.message.ref for _, e in new.entries()]
 
 
 def test_promises_need_their_copies_in_the_old_set_and_the_new_one():
@@ -163,7 +163,7 @@
     first = append(1, START, taken("r1"), taken("r2"))
     copy.take(first, 0)
     assert store.keep([core.KeepTerm(term), core.KeepBook("own", ABOUT, 4), core.KeepCopy("book", copy)])
-    more = append(1, (1, 2), Opened("r2", 0, NOW, "h"))
+    more = append(1, (1, 2), RelayStarted("r2", 0, NOW, "h"))
     copy.take(more, 0)
     assert store.keep([core.KeepCopy("book", copy, more.frames, copy.position)])
     with (tmp_path / "custody").open("ab") as file:
@@ -173,7 +173,7 @@
     assert back.terms == {"book": term}
     assert back.books == {"own": (ABOUT, 4)}
     found = back.copies["book"]
-    assert (found.position, [e.taken.ref for _, e in found.entries()]) == ((1, 3), ["r1", "r2"])
+    assert (found.position, [e.message.ref for _, e in found.entries()]) == ((1, 3), ["r1", "r2"])
     assert found.live["r2"].may_have_run(0)
 
 
@@ -181,7 +181,7 @@
     store, _ = make_store(tmp_path)
     copy = Copy("book", ABOUT, 1)
     begun = core.KeepCopy("book", copy)
-    more = append(1, START, taken("r1"), Opened("r1", 0, NOW, "h"))
+    more = append(1, START, taken("r1"), RelayStarted("r1", 0, NOW, "h"))
     copy.take(more, 0)
     assert store.keep([begun, core.KeepCopy("book", copy, more.frames, copy.position)])
     found = make_store(tmp_path)[0].copies["book"]
@@ -194,7 +194,7 @@
     copy = Copy("book", ABOUT, 1)
     store.keep([core.KeepCopy("book", copy)])
     for n in range(300):
-        more = append(1, copy.position, taken(f"r{n}", b"x" * 1000), Ended(f"r{n}", "delivered"))
+        more = append(1, copy.position, taken(f"r{n}", b"x" * 1000), MessageEnded(f"r{n}", "delivered"))
         copy.take(more, 0)
         assert store.keep([core.KeepCopy("book", copy, more.frames, copy.position)])
         assert (tmp_path / "custody").stat().st_size <= 2 * store.live + 80_000
--- a/tests/test_restarted.py
+++ b/tests/test_restarted.py
@@ -6,7 +6,7 @@
 from helpers import KEYED, ORDERED, SAFE, UNSAFE, Sender, answers, sends
 
 from willownotch.interface import Endpoint, EndpointList, Fail, Outcome, PastAttempt, Refuse, Stopping, Timer
-from willownotch.journal.records import Entry, Taken
+from willownotch.journal.records import Entry, AcceptedMessage
 from willownotch.net.owner import soonest_first
 
 
@@ -42,9 +42,9 @@
         ends = datetime(2026, 12, 2, tzinfo=UTC)
         rows = [("a", None, 9), ("b", "k", 8), ("c", None, 7), ("d", "k", 5), ("e", None, 8)]
         found = [
-            Entry(Taken(ref, 1, "x", "", ends + timedelta(seconds=left), key), 0) for ref, key, left in rows
+            Entry(AcceptedMessage(ref, 1, "x", "", ends + timedelta(seconds=left), key), 0) for ref, key, left in rows
         ]
-        told = [entry.taken.ref for entry in soonest_first(found)]
+        told = [entry.message.ref for entry in soonest_first(found)]
         self.assertEqual(told, ["b", "d", "c", "e", "a"])  # of a key as handed in
         sender = Sender(slots=1)
         messages = {ref: sender.message(SAFE) for ref in told}
--- a/willownotch/bodies/plan.py
+++ b/willownotch/bodies/plan.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from willownotch.bodies.settings import AtLimit, ClassBodies
-from willownotch.files.space import blocks
+from willownotch.files.space import round_to_blocks
 from willownotch.interface import Idempotency
 
 GAIN = 0.2  # of the newest gap between two deliveries, in a destination's smoothed gap
@@ -55,7 +55,7 @@
 
     verdict: Verdict
     reason: str = ""
-    need: int = 0
+    bytes_needed: int = 0
     destination: int | None = None
 
 
@@ -79,11 +79,11 @@
     name: str
     worth: float
     idempotency: Idempotency
-    own: ClassBodies
+    body_settings: ClassBodies
 
     def share(self, room: int) -> int:
         """Bytes that are always to be had for it."""
-        return int((self.own.share or 0.0) * room)
+        return int((self.body_settings.share or 0.0) * room)
 
 
 @dataclass(slots=True)
@@ -136,7 +136,7 @@
     free = limits.room - usage.total
     reserved = (
         0
-        if plan.own.drop
+        if plan.body_settings.drop
         else sum(
             max(0, p.share(limits.room) - usage.classes.get(p.name, 0))
             for p in plans.values()
@@ -156,7 +156,7 @@
 
 
 def _at_limit(plan: ClassPlan, reason: str, destination: int | None = None) -> Admission:
-    one_try = plan.own.at_limit is AtLimit.ONE_TRY
+    one_try = plan.body_settings.at_limit is AtLimit.ONE_TRY
     return Admission(Verdict.ONE_TRY if one_try else Verdict.REFUSE, reason, destination=destination)
 
 
@@ -190,7 +190,7 @@
     cls: str
     destination: int
     size: int
-    next_s: float
+    expected_wait_s: float
 
 
 def victims(
@@ -198,7 +198,7 @@
     room: int,
     usage: Usage,
     cls: str,
-    need: int,
+    bytes_needed: int,
     candidates: Iterable[Candidate],
     destination: int | None = None,
 ) -> list[Candidate]:
@@ -211,11 +211,11 @@
     spare = {
         p.name: usage.classes.get(p.name, 0) - p.share(room)
         for p in plans.values()
-        if p.own.drop and p.name != cls and p.worth <= plan.worth
+        if p.body_settings.drop and p.name != cls and p.worth <= plan.worth
     }
     chosen, won = [], 0
-    for candidate in sorted(candidates, key=lambda c: (-c.next_s, -c.size, c.ref)):
-        if won >= need or len(chosen) == VICTIMS_MOST:
+    for candidate in sorted(candidates, key=lambda c: (-c.expected_wait_s, -c.size, c.ref)):
+        if won >= bytes_needed or len(chosen) == VICTIMS_MOST:
             break
         if destination is not None and candidate.destination != destination:
             continue
@@ -224,7 +224,7 @@
         spare[candidate.cls] -= candidate.size
         chosen.append(candidate)
         won += candidate.size
-    return chosen if won >= need else []
+    return chosen if won >= bytes_needed else []
 
 
 @dataclass(slots=True)
@@ -262,7 +262,7 @@
 
 
 @dataclass(slots=True)
-class Outlook:
+class DeliveryForecast:
     """When a destination will want a body, from what its relays came to. Times are seconds on one clock."""
 
     gap_s: float = FIRST_GAP_S  # smoothed, between two deliveries
@@ -282,7 +282,7 @@
             self.failed_since = now
         self.waits_until = max(self.waits_until, now + wait_s)
 
-    def next_s(self, now: float, ahead: int) -> float:
+    def expected_wait_s(self, now: float, ahead: int) -> float:
         """How long until the body behind `ahead` others is wanted.
 
         What has failed for so long is taken to fail for as long again, as nothing is known of outages but
@@ -329,15 +329,15 @@
     whose live bodies need more than `copy_most` bytes at once is passed over.
     """
     segments = list(segments)
-    size, live = sum(blocks(s.size) for s in segments), sum(s.live for s in segments)
+    size, live = sum(round_to_blocks(s.size) for s in segments), sum(s.live for s in segments)
     if not pressed and (not size or (size - live) / size < reclaim):
         return None
-    worth = [s for s in segments if blocks(s.size) - blocks(s.live) > 0 and s.live <= copy_most]
-    best = max(worth, key=lambda s: ((blocks(s.size) - s.live) / (s.live + 1), -s.number), default=None)
+    worth = [s for s in segments if round_to_blocks(s.size) - round_to_blocks(s.live) > 0 and s.live <= copy_most]
+    best = max(worth, key=lambda s: ((round_to_blocks(s.size) - s.live) / (s.live + 1), -s.number), default=None)
     return best.number if best else None
 
 
-def ending(effect: Idempotency, may_have_run: bool) -> str:
+def outcome_without_body(effect: Idempotency, may_have_run: bool) -> str:
     """The notice's word for a message whose body is lost, dropped or was never kept.
 
     Nothing that may have run is handed back where a repeat could count twice; an unrepeatable message ends as
--- a/willownotch/bodies/show.py
+++ b/willownotch/bodies/show.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from willownotch.bodies.store import PREFIX, checksum
-from willownotch.files.space import blocks
-from willownotch.journal.records import Taken
+from willownotch.files.space import round_to_blocks
+from willownotch.journal.records import AcceptedMessage
 
 
 class Row(msgspec.Struct):
@@ -35,50 +35,50 @@
     damaged: list[str]
 
 
-def step_of(taken: Taken) -> str:
+def step_of(message: AcceptedMessage) -> str:
     """Where a body stands, as far as the folder tells: what is in memory beside its file is not seen."""
-    if taken.unkept:
+    if message.unkept:
         return "unkept"
-    if taken.place is not None or taken.apart:
+    if message.place is not None or message.legacy_file:
         return "file"
     return "record"
 
 
-def collect(owed: Iterable[Taken], now: datetime) -> list[Row]:
+def collect(owed: Iterable[AcceptedMessage], now: datetime) -> list[Row]:
     """The table, largest first."""
     rows: dict[tuple[str, int, str], Row] = {}
-    for taken in owed:
-        step = step_of(taken)
+    for message in owed:
+        step = step_of(message)
         row = rows.setdefault(
-            (taken.message_class, taken.destination, step), Row(taken.message_class, taken.destination, step)
+            (message.message_class, message.destination, step), Row(message.message_class, message.destination, step)
         )
         row.bodies += 1
-        row.bytes += taken.body_size()
-        if taken.at is not None:
-            age = max(timedelta(0), now - taken.at).total_seconds()
+        row.bytes += message.body_size()
+        if message.at is not None:
+            age = max(timedelta(0), now - message.at).total_seconds()
             row.youngest_s = min(age, row.youngest_s if row.youngest_s is not None else age)
             row.oldest_s = max(age, row.oldest_s or 0.0)
     return sorted(rows.values(), key=lambda r: (-r.bytes, r.message_class, r.destination, r.step))
 
 
-def look(folder: Path, owed: list[Taken], now: datetime, verify: bool = False) -> Kept:
+def look(folder: Path, owed: list[AcceptedMessage], now: datetime, verify: bool = False) -> Kept:
     """Read a folder; with `verify` every body is read and its checksum compared."""
     found = ((f.name[len(PREFIX) :], f) for f in folder.glob(f"{PREFIX}*"))
     files = {int(number): file for number, file in found if number.isdigit()}
     sizes = {number: file.stat().st_size for number, file in files.items()}
     damaged = []
-    for taken in owed:
-        place = taken.place
-        missing = taken.apart and not (folder / taken.apart).exists()
+    for message in owed:
+        place = message.place
+        missing = message.legacy_file and not (folder / message.legacy_file).exists()
         if missing or (place is not None and sizes.get(place.segment, -1) < place.offset + place.size):
-            damaged.append(taken.ref)
+            damaged.append(message.ref)
         elif place is not None and verify:
             with files[place.segment].open("rb") as file:
                 file.seek(place.offset)
                 if checksum(file.read(place.size)) != place.checksum:
-                    damaged.append(taken.ref)
-    live = sum(taken.place.size for taken in owed if taken.place is not None)
-    return Kept(collect(owed, now), len(files), sum(map(blocks, sizes.values())), live, damaged)
+                    damaged.append(message.ref)
+    live = sum(message.place.size for message in owed if message.place is not None)
+    return Kept(collect(owed, now), len(files), sum(map(round_to_blocks, sizes.values())), live, damaged)
 
 
 def table(kept: Kept) -> str:
--- a/willownotch/bodies/store.py
+++ b/willownotch/bodies/store.py
@@ -21,10 +21,10 @@
 import msgspec
 
 from willownotch.bodies import plan
-from willownotch.bodies.plan import Admission, ClassPlan, Limits, Outlook, Place, Verdict
+from willownotch.bodies.plan import Admission, ClassPlan, Limits, DeliveryForecast, Place, Verdict
 from willownotch.bodies.settings import BodiesSettings, for_class
 from willownotch.files.layer import Files
-from willownotch.files.space import Space, blocks
+from willownotch.files.space import Space, round_to_blocks
 from willownotch.interface import MessageClass, Outcome
 from willownotch.net.clock import Clock, seconds
 from willownotch.net.log import Log
@@ -42,7 +42,7 @@
 READS = 3  # tries, should a body be moved while it is read
 
 
-class LostError(Exception):
+class BodyLostError(Exception):
     """A body is missing or damaged: there is nothing to deliver."""
 
 
@@ -55,7 +55,7 @@
     body: bytes
     place: Place | None
     unkept: bool
-    apart: str | None
+    legacy_file: str | None
     checksum: int
 
 
@@ -63,7 +63,7 @@
 class Put:
     """A body on its way to the disk."""
 
-    taken: TakenBody  # without its body
+    message: TakenBody  # without its body
     body: bytes
     checksum: int
     pending: PendingReply[Place | str]
@@ -92,11 +92,11 @@
     number: int
 
 
-def content(taken: TakenBody) -> tuple[int, int]:
+def size_and_checksum(message: TakenBody) -> tuple[int, int]:
     """Size and checksum of a body, wherever it stands."""
-    if taken.place is not None:
-        return taken.place.size, taken.place.checksum
-    return len(taken.body), checksum(taken.body)
+    if message.place is not None:
+        return message.place.size, message.place.checksum
+    return len(message.body), checksum(message.body)
 
 
 def checksum(body: bytes) -> int:
@@ -152,11 +152,11 @@
         self.moved: Callable[[str, Place], None] = lambda ref, place: None
         self.compact_journal: Callable[[], None] = lambda: None
         self.lost: Callable[[str], None] = lambda ref: None
-        self.turned_away: Callable[[TakenBody], bool] = lambda taken: False
+        self.would_reject: Callable[[TakenBody], bool] = lambda message: False
         self.usage, self.steps = plan.Usage(), plan.Steps()
         self.inline = plan.Usage()  # of bodies that stand in journal records
         self.unkept = plan.Usage()  # of bodies that are in memory for one try
-        self.outlooks: dict[int, Outlook] = {}
+        self.forecasts: dict[int, DeliveryForecast] = {}
         self.segments: dict[int, Segment] = {}
         self.copy_room = copy_room(space)
         self.moves = 0  # bodies copied by reclaiming
@@ -211,26 +211,26 @@
             if name.startswith(PREFIX) and name[len(PREFIX) :].isdigit():
                 sizes[int(name[len(PREFIX) :])] = self.files.size(self.folder / name)
         lost, old = [], set()
-        for taken in live:
-            place = taken.place
-            if taken.apart:
-                lost += self._open_old(taken, names, old)
+        for message in live:
+            place = message.place
+            if message.legacy_file:
+                lost += self._open_old(message, names, old)
             elif place is not None:
-                self.usage.add(taken.message_class, taken.destination, place.size)
+                self.usage.add(message.message_class, message.destination, place.size)
                 if sizes.get(place.segment, -1) < place.offset + place.size:
-                    lost.append(taken.ref)
+                    lost.append(message.ref)
                     continue
                 segment = self.segments.get(place.segment)
                 if segment is None:
                     segment = self._known(place.segment, sizes[place.segment])
-                segment.places[taken.ref] = place
+                segment.places[message.ref] = place
                 segment.live += place.size
-            elif taken.body:
-                self._count_inline(taken, len(taken.body))
+            elif message.body:
+                self._count_inline(message, len(message.body))
         for number, size in sizes.items():
             self._last = max(self._last, number)
             if number not in self.segments:  # nobody's: taken on was nothing of it
-                self.space.settle(0, blocks(size))
+                self.space.settle(0, round_to_blocks(size))
                 self._remove_file(self.folder / f"{PREFIX}{number}", size)
         for name in names:
             if name.startswith(OLD_PREFIX) and name not in old:
@@ -239,40 +239,40 @@
 
     def _known(self, number: int, size: int) -> Segment:
         self.segments[number] = Segment(number, self.folder / f"{PREFIX}{number}", size)
-        self.space.settle(0, blocks(size))
+        self.space.settle(0, round_to_blocks(size))
         return self.segments[number]
 
-    def _open_old(self, taken: TakenBody, names: list[str], old: set[str]) -> list[str]:
+    def _open_old(self, message: TakenBody, names: list[str], old: set[str]) -> list[str]:
         """A body in a file of its own, as earlier versions kept it."""
-        if taken.apart not in names:
-            return [taken.ref]
-        old.add(taken.apart)
-        self.space.settle(0, blocks(self.files.size(self.folder / taken.apart)))
+        if message.legacy_file not in names:
+            return [message.ref]
+        old.add(message.legacy_file)
+        self.space.settle(0, round_to_blocks(self.files.size(self.folder / message.legacy_file)))
         return []
 
     # A hand-in
 
-    def keep(self, taken: TakenBody, patience: timedelta, last: bool = False) -> TakenBody | Admission:
+    def keep(self, message: TakenBody, patience: timedelta, last: bool = False) -> TakenBody | Admission:
         """The message with its body where it is to stand, or why it cannot be taken on as things are.
 
         DROP_FIRST asks for room from others and one `last` call. `patience` ends the wait for the disk.
         """
-        size = len(taken.body)
+        size = len(message.body)
         if size <= plan.inline_most(self.steps.now, self.limits):
-            return taken  # counted once it is taken on
-        if self.turned_away(taken):  # the owner will say so: nothing is written for it
-            return taken
+            return message  # counted once it is taken on
+        if self.would_reject(message):  # the owner will say so: nothing is written for it
+            return message
         with self._lock:
-            admission = self._admit(taken, size)
+            admission = self._admit(message, size)
             if admission.verdict is Verdict.DROP_FIRST and last:
-                admission = plan.after_failure(self.plans[taken.message_class], admission.reason)
+                admission = plan.after_failure(self.plans[message.message_class], admission.reason)
             if admission.verdict is Verdict.KEEP:
-                self.usage.add(taken.message_class, taken.destination, size)
+                self.usage.add(message.message_class, message.destination, size)
             elif admission.destination is None and admission.verdict is not Verdict.DROP_FIRST:
                 self._room_ran_out(admission.reason)
         if admission.verdict is Verdict.KEEP:
-            bare = msgspec.structs.replace(taken, body=b"")
-            put = Put(bare, taken.body, checksum(taken.body), PendingReply())
+            bare = msgspec.structs.replace(message, body=b"")
+            put = Put(bare, message.body, checksum(message.body), PendingReply())
             self._queue.put(put)
             found = put.pending.wait(min(patience, self.settings.write_patience), CLAIMED_PATIENCE)
             if isinstance(found, Place):
@@ -280,91 +280,91 @@
             put.body = b""  # should it still be in the queue
             reason = found or "the disk did not take its body in time"
             if not put.pending.abandoned:
-                self._unused(taken, size)
-            admission = plan.after_failure(self.plans[taken.message_class], reason)
+                self._unused(message, size)
+            admission = plan.after_failure(self.plans[message.message_class], reason)
             if found == NO_ROOM and not last:
                 with self._lock:
                     admission = plan.without_room(
-                        self.plans, self.limits, self.usage, taken.message_class, size, reason
+                        self.plans, self.limits, self.usage, message.message_class, size, reason
                     )
         if admission.verdict is Verdict.ONE_TRY:
-            return self._one_try(taken, admission.reason)
+            return self._one_try(message, admission.reason)
         return admission
 
-    def _admit(self, taken: TakenBody, size: int) -> Admission:
+    def _admit(self, message: TakenBody, size: int) -> Admission:
         """The plan's word; after a failure of the disk, one body in a while tries it again."""
         full = self.steps.full and not self._refused
         admission = plan.admit(
-            self.plans, self.limits, self.usage, full, taken.message_class, taken.destination, size
+            self.plans, self.limits, self.usage, full, message.message_class, message.destination, size
         )
         if self._refused and admission.verdict is Verdict.KEEP:
             now = self.clock.now()
             if now < self._blocked_until:
-                return plan.after_failure(self.plans[taken.message_class], "the disk refused the last write")
+                return plan.after_failure(self.plans[message.message_class], "the disk refused the last write")
             self._blocked_until = now + PAUSE
         return admission
 
-    def _one_try(self, taken: TakenBody, reason: str) -> TakenBody | Admission:
-        size = len(taken.body)
+    def _one_try(self, message: TakenBody, reason: str) -> TakenBody | Admission:
+        size = len(message.body)
         with self._lock:
             # What stands in a file, too, gives way to what stands nowhere else, whenever that is wanted.
             while self._cache and self.usage.memory + size > self.limits.memory:
                 self._spill_one(-inf)
-            if not plan.one_try_fits(self.limits, self.usage, self.unkept, taken.destination, size):
+            if not plan.one_try_fits(self.limits, self.usage, self.unkept, message.destination, size):
                 return Admission(Verdict.REFUSE, f"{reason}, and no memory for one try")
-            self._count_unkept(taken, size)
-        self.log.say("unkept", f"{taken.ref} is taken for one try, its body kept nowhere: {reason}")
-        return msgspec.structs.replace(taken, unkept=True)
+            self._count_unkept(message, size)
+        self.log.say("unkept", f"{message.ref} is taken for one try, its body kept nowhere: {reason}")
+        return msgspec.structs.replace(message, unkept=True)
 
-    def _unused(self, taken: TakenBody, size: int) -> None:
+    def _unused(self, message: TakenBody, size: int) -> None:
         with self._lock:
-            self.usage.add(taken.message_class, taken.destination, -size)
+            self.usage.add(message.message_class, message.destination, -size)
 
-    def discard(self, taken: TakenBody) -> None:
+    def discard(self, message: TakenBody) -> None:
         """A message that was not taken on after all: its body goes."""
-        if taken.unkept:
+        if message.unkept:
             with self._lock:
-                self._count_unkept(taken, -len(taken.body))
-        elif taken.place is not None:
-            self._release(taken)
+                self._count_unkept(message, -len(message.body))
+        elif message.place is not None:
+            self._release(message)
 
     # What the journal tells, under its lock
 
-    def entered(self, taken: TakenBody) -> None:
+    def body_recorded(self, message: TakenBody) -> None:
         """A message is on record."""
-        if taken.place is None and not taken.unkept and taken.body:
+        if message.place is None and not message.unkept and message.body:
             with self._lock:
-                self._count_inline(taken, len(taken.body))
+                self._count_inline(message, len(message.body))
                 if self.usage.memory > self.limits.memory:
                     self._memory_ran_out()
 
-    def left(self, taken: TakenBody) -> None:
+    def body_released(self, message: TakenBody) -> None:
         """It needs its body no more."""
-        if taken.place is not None:
-            self._release(taken)
-        elif taken.apart:
-            self._remove_file(self.folder / taken.apart, self._old_size(taken.apart))
-        elif taken.body:
+        if message.place is not None:
+            self._release(message)
+        elif message.legacy_file:
+            self._remove_file(self.folder / message.legacy_file, self._old_size(message.legacy_file))
+        elif message.body:
             with self._lock:
-                if taken.unkept:
-                    self._count_unkept(taken, -len(taken.body))
+                if message.unkept:
+                    self._count_unkept(message, -len(message.body))
                 else:
-                    self._count_inline(taken, -len(taken.body))
+                    self._count_inline(message, -len(message.body))
                 self._look()
 
-    def _count_inline(self, taken: TakenBody, size: int) -> None:
+    def _count_inline(self, message: TakenBody, size: int) -> None:
         self.usage.memory += size
-        self.inline.add(taken.message_class, taken.destination, size)
+        self.inline.add(message.message_class, message.destination, size)
 
-    def relocated(self, taken: TakenBody, place: Place) -> None:
+    def body_relocated(self, message: TakenBody, place: Place) -> None:
         """A move is on record: the old place is dead."""
         with self._lock:
-            self._uncache(taken.place, taken.destination)
-            self._drop_place(taken.ref, taken.place)
+            self._uncache(message.place, message.destination)
+            self._drop_place(message.ref, message.place)
 
-    def _count_unkept(self, taken: TakenBody, size: int) -> None:
+    def _count_unkept(self, message: TakenBody, size: int) -> None:
         self.usage.memory += size
-        self.unkept.add(taken.message_class, taken.destination, size)
+        self.unkept.add(message.message_class, message.destination, size)
 
     def _old_size(self, name: str) -> int:
         try:
@@ -372,11 +372,11 @@
         except OSError:
             return 0
 
-    def _release(self, taken: TakenBody) -> None:
+    def _release(self, message: TakenBody) -> None:
         with self._lock:
-            self.usage.add(taken.message_class, taken.destination, -taken.place.size)
-            self._uncache(taken.place, taken.destination)
-            self._drop_place(taken.ref, taken.place)
+            self.usage.add(message.message_class, message.destination, -message.place.size)
+            self._uncache(message.place, message.destination)
+            self._drop_place(message.ref, message.place)
             self._look()
 
     def _drop_place(self, ref: str, place: Place) -> None:
@@ -416,7 +416,7 @@
         size, now = place.size, self.clock.module_s(self.clock.now())
         if size > self.limits.memory:
             return
-        new_s = self._outlook(destination).next_s(now, len(self._lines.get(destination, ())))
+        new_s = self._outlook(destination).expected_wait_s(now, len(self._lines.get(destination, ())))
         while self.usage.memory + size > self.limits.memory:
             self._memory_ran_out()
             if not self._spill_one(new_s):
@@ -428,7 +428,7 @@
     def _spill_one(self, new_s: float) -> bool:
         """The body that is wanted last leaves memory for one wanted in `new_s`; False if that is the last."""
         now = self.clock.module_s(self.clock.now())
-        lines = [plan.Line(d, self._outlook(d).next_s(now, len(line) - 1)) for d, line in self._lines.items()]
+        lines = [plan.Line(d, self._outlook(d).expected_wait_s(now, len(line) - 1)) for d, line in self._lines.items()]
         victim = plan.spill_from(lines, new_s)
         if victim is None:
             return False
@@ -444,14 +444,14 @@
             if not line:
                 del self._lines[destination]
 
-    def _outlook(self, destination: int) -> Outlook:
-        return self.outlooks.get(destination) or Outlook()
+    def _outlook(self, destination: int) -> DeliveryForecast:
+        return self.forecasts.get(destination) or DeliveryForecast()
 
     def observe(self, destination: int, outcome: Outcome, wait: timedelta = timedelta(0)) -> None:
         """What a relay came to."""
         now = self.clock.module_s(self.clock.now())
         with self._lock:
-            outlook = self.outlooks.setdefault(destination, Outlook())
+            outlook = self.forecasts.setdefault(destination, DeliveryForecast())
             if outcome is Outcome.DELIVERED:
                 outlook.delivered(now)
             elif outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
@@ -460,13 +460,13 @@
     def forget_destinations(self, listed: set[int]) -> None:
         """Destinations come and go: what no list names any more is not remembered."""
         with self._lock:
-            for destination in [d for d in self.outlooks if d not in listed]:
-                del self.outlooks[destination]
+            for destination in [d for d in self.forecasts if d not in listed]:
+                del self.forecasts[destination]
 
-    def next_s(self, destination: int) -> float:
+    def expected_wait_s(self, destination: int) -> float:
         """How long until a destination is likely to take anything."""
         with self._lock:
-            return self._outlook(destination).next_s(self.clock.module_s(self.clock.now()), 0)
+            return self._outlook(destination).expected_wait_s(self.clock.module_s(self.clock.now()), 0)
 
     def victims(
         self,
@@ -484,23 +484,23 @@
 
     # A relay
 
-    def read(self, taken: TakenBody) -> bytes:
+    def read(self, message: TakenBody) -> bytes:
         """The body's bytes. `LostError` where they are missing or damaged, `OSError` where the disk fails."""
-        if taken.apart:
-            return self._read_old(taken)
-        if taken.place is None:
-            return taken.body
-        body = self._cache.get(taken.place)
+        if message.legacy_file:
+            return self._read_old(message)
+        if message.place is None:
+            return message.body
+        body = self._cache.get(message.place)
         if body is not None:
             return body
         for _ in range(READS):
-            place = self.place_of(taken.ref) or taken.place
+            place = self.place_of(message.ref) or message.place
             try:
                 return self._read_at(place)
-            except (FileNotFoundError, LostError):
-                if self.place_of(taken.ref) in (None, place):
+            except (FileNotFoundError, BodyLostError):
+                if self.place_of(message.ref) in (None, place):
                     break  # not moved meanwhile
-        raise LostError(f"the body of {taken.ref} is missing or damaged")
+        raise BodyLostError(f"the body of {message.ref} is missing or damaged")
 
     def _read_at(self, place: Place) -> bytes:
         file = self.files.open_to_read(self.folder / f"{PREFIX}{place.segment}")
@@ -516,16 +516,16 @@
             self.files.close(file)
         body = parts[0] if len(parts) == 1 else b"".join(parts)
         if len(body) != place.size or checksum(body) != place.checksum:
-            raise LostError
+            raise BodyLostError
         return body
 
-    def _read_old(self, taken: TakenBody) -> bytes:
+    def _read_old(self, message: TakenBody) -> bytes:
         try:
-            body = self.files.read_whole(self.folder / taken.apart)
+            body = self.files.read_whole(self.folder / message.legacy_file)
         except FileNotFoundError:
-            raise LostError(f"the body of {taken.ref} is missing") from None
-        if zlib.crc32(body) != taken.checksum:
-            raise LostError(f"the body of {taken.ref} is damaged")
+            raise BodyLostError(f"the body of {message.ref} is missing") from None
+        if zlib.crc32(body) != message.checksum:
+            raise BodyLostError(f"the body of {message.ref} is damaged")
         return body
 
     # The store's own thread
@@ -581,13 +581,13 @@
 
     def _put(self, put: Put) -> None:
         """Write one body and answer who waits for it."""
-        taken, body, found = put.taken, put.body, "nobody waits for it"
+        message, body, found = put.message, put.body, "nobody waits for it"
         if put.pending.abandoned:
-            self._unused(taken, put.size)
+            self._unused(message, put.size)
             return
         self._stuck.clear()
         try:
-            found = self._write(taken.ref, body, put.checksum, lambda: not put.pending.abandoned)
+            found = self._write(message.ref, body, put.checksum, lambda: not put.pending.abandoned)
         except OSError as fault:
             self._refused, self._blocked_until = True, self.clock.now() + PAUSE
             found = f"the disk refused its body ({fault.strerror or fault})"
@@ -598,14 +598,14 @@
             elif not put.pending.abandoned:
                 self._room_ran_out(found)
         if not put.pending.claim():
-            self._unused(taken, put.size)
+            self._unused(message, put.size)
             if isinstance(found, Place):
                 with self._lock:
-                    self._drop_place(taken.ref, found)
+                    self._drop_place(message.ref, found)
             return
         if isinstance(found, Place):
             with self._lock:
-                self._remember(found, taken.destination, body)
+                self._remember(found, message.destination, body)
         put.pending.settle(found)
 
     def _write(
@@ -625,10 +625,10 @@
                 self._close_active()
                 active = None
             old = active.size if active is not None else 0
-            grown = blocks(old + size) - blocks(old)
+            grown = round_to_blocks(old + size) - round_to_blocks(old)
             if self.space.claim(grown, reserve):
                 break
-            if self.space.journal_blocks(grown):
+            if self.space.blocked_by_journal(grown):
                 self.compact_journal()
                 if self.space.claim(grown, reserve):
                     break
@@ -668,10 +668,10 @@
         try:
             self.files.truncate(segment.file, size)
         except OSError as fault:
-            left = self._old_size(segment.path.name)
+            body_released = self._old_size(segment.path.name)
             self.log.say("bodies", f"{segment.path.name} keeps what a failed write left: {fault.strerror}")
-            self.space.settle(0, blocks(left) - blocks(size))
-            segment.size = max(size, left)
+            self.space.settle(0, round_to_blocks(body_released) - round_to_blocks(size))
+            segment.size = max(size, body_released)
             self._close_active()
             return
         if not size:
@@ -715,7 +715,7 @@
     def _remove_file(self, path: Path, size: int) -> None:
         try:
             self.files.remove(path)
-            self.space.freed(blocks(size))
+            self.space.freed(round_to_blocks(size))
         except OSError as fault:  # the next start removes it
             self.log.say("bodies", f"{path.name} could not be removed: {fault.strerror}")
 
@@ -737,7 +737,7 @@
             return False
         try:
             body = self._read_at(place)
-        except (LostError, FileNotFoundError):
+        except (BodyLostError, FileNotFoundError):
             self.log.say("bodies", f"the body of {ref} is missing or damaged")
             self._stuck.add(number)
             self.lost(ref)
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -368,7 +368,7 @@
     calls.empty = lambda: threads.start("drain", client_side.empty)
     for fault in journal.faults:
         log.say("journal", fault)
-    bodies.turned_away = decision_loop.turned_away
+    bodies.would_reject = decision_loop.would_reject
     bodies.lost = lambda ref: decision_loop.post(BodyLost(ref))
     endpoint_side = EndpointSide(config, clock, log, journal, bodies, hosts.by_number, decision_loop.post, threads.start)
     platform = Platform(config.discovery)
@@ -448,9 +448,9 @@
     if inherited is not None:
         predecessor.predecessor_gone = predecessor_link.gone.is_set
     if mesh is not None:  # its addresses are the next process's
-        predecessor.released.append(mesh.stop)
+        predecessor.release_steps.append(mesh.stop)
     if following is not None:
-        predecessor.released.append(following.stop)
+        predecessor.release_steps.append(following.stop)
     # Custody stays with a process: the next one claims it, as any other sender would.
     if keeper is None:
         threads.start("upgrade", predecessor.run)
--- a/willownotch/commands.py
+++ b/willownotch/commands.py
@@ -93,17 +93,17 @@
     live, damaged = replay(data)
     rows = []
     for entry in live.values():
-        taken, runs = entry.taken, [entry.may_have_run(n) for n in range(entry.count())]
+        message, runs = entry.message, [entry.may_have_run(n) for n in range(entry.count())]
         rows.append(
             {
-                "ref": taken.ref,
-                "destination": taken.destination,
-                "class": taken.message_class,
-                "until": taken.ends_at,
-                "key": taken.key,
+                "ref": message.ref,
+                "destination": message.destination,
+                "class": message.message_class,
+                "until": message.ends_at,
+                "key": message.key,
                 "relays": len(runs),
                 "may_have_run": sum(runs),
-                "body": taken.body_size(),
+                "body": message.body_size(),
                 "ended": entry.ended.outcome if entry.ended else None,
             }
         )
@@ -140,7 +140,7 @@
 
     try:
         live, _ = replay((folder / journals.NAME).read_bytes())
-        owed = [entry.taken for entry in live.values() if entry.ended is None]
+        owed = [entry.message for entry in live.values() if entry.ended is None]
         kept = show.look(folder, owed, Clock().now(), verify)
     except OSError as fault:
         return faulty(f"the folder cannot be read: {fault}")
--- a/willownotch/files/faulty.py
+++ b/willownotch/files/faulty.py
@@ -87,7 +87,7 @@
         self.faults, self.begun = faults, begun
         self.die = die or (lambda: os.kill(os.getpid(), signal.SIGKILL))
         self.count = 0
-        self.trail: list[tuple[int, str, str]] = []
+        self.operations: list[tuple[int, str, str]] = []
         self._lock = threading.Lock()
         self._names: dict[int, str] = {}  # of open descriptors
 
@@ -96,7 +96,7 @@
         with self._lock:
             self.count += 1
             number = self.count
-            self.trail.append((number, operation, name))
+            self.operations.append((number, operation, name))
         if self.begun:
             self.begun(number, operation, name)
         while kinds := [f.kind for f in self.faults() if f.strikes(operation, name, number)]:
--- a/willownotch/files/space.py
+++ b/willownotch/files/space.py
@@ -18,7 +18,7 @@
 JOURNAL_SHARE = 0.25  # of the room that bodies never take
 
 
-def blocks(size: int) -> int:
+def round_to_blocks(size: int) -> int:
     """A file's size as the limit counts it."""
     return -(-size // BLOCK) * BLOCK
 
@@ -43,12 +43,12 @@
         """What bodies may take together, whatever the journal holds."""
         return int((1 - self.journal_share) * self.room)
 
-    def journal_is(self, size: int, live: int) -> None:
+    def set_journal_size(self, size: int, live: int) -> None:
         """The journal's file, and its live records with all that may follow."""
         with self._lock:
             self._journal, self._live = size, live
 
-    def journal_most(self, live: int) -> int:
+    def max_journal_size(self, live: int) -> int:
         """How large the journal's file may grow, so that one of the live records still fits beside it."""
         return self.room - self.bodies - live
 
@@ -84,7 +84,7 @@
         with self._lock:
             self._bodies -= size
 
-    def journal_blocks(self, size: int) -> bool:
+    def blocked_by_journal(self, size: int) -> bool:
         """Whether a claim of so much fails only because the journal has not been written anew."""
         with self._lock:
             bodies = self._bodies + self._claimed + size
--- a/willownotch/handover/messages.py
+++ b/willownotch/handover/messages.py
@@ -77,9 +77,9 @@
     """What the new process has to know of a call's end."""
     relay = ended.relay
     return CallEnded(
-        relay.taken.ref,
+        relay.message.ref,
         relay.number,
-        relay.taken.destination,
+        relay.message.destination,
         ended.outcome,
         ended.took,
         ended.wait,
--- a/willownotch/handover/predecessor.py
+++ b/willownotch/handover/predecessor.py
@@ -63,7 +63,7 @@
         self.start = start
         self._version = version()  # of what runs here, whatever the files say by then
         self._pause = threading.Event()  # never set: a wait of a moment
-        self.released: list[Callable[[], None]] = []  # what else lets go of addresses, once all is given
+        self.release_steps: list[Callable[[], None]] = []  # what else lets go of addresses, once all is given
         self._sock: socket.socket | None = None
         self._passing: ClientPassing | None = None  # once everything is given
         self._lock_passed = False  # as a descriptor, so that no third process can take it in between
@@ -155,7 +155,7 @@
                 self.log.say(
                     "state",
                     f"the state stands still after {self._since(began)} ms: "
-                    f"{len(state.owed)} messages, {self.client_side.connection_count()} clients",
+                    f"{len(state.outstanding)} messages, {self.client_side.connection_count()} clients",
                 )
                 given = self._gave(link, state if same else None)
         finally:
@@ -301,7 +301,7 @@
         it may have run, and must not meet it on an open connection.
         """
         ends = self.clock.now() + LEAVE_TIME
-        self._carry_out(*self.released)
+        self._carry_out(*self.release_steps)
         while self.clock.now() < ends and not self._finished():
             if self._gone.wait(seconds(LOOK)):
                 self.log.say("upgrade", f"ends with {self._calls_out()} calls out, which may have run")
--- a/willownotch/handover/state.py
+++ b/willownotch/handover/state.py
@@ -6,13 +6,13 @@
 from datetime import datetime
 
 from willownotch.control import Controller
-from willownotch.journal.records import Ended, Entry, Record, Taken
+from willownotch.journal.records import MessageEnded, Entry, Record, AcceptedMessage
 from willownotch.net.config import Config
 from willownotch.net.registry import Host
 
 
 @dataclass
-class Out:
+class OutstandingCall:
     """A call that is out, or waits behind a gate (`gated`) and never was."""
 
     number: int
@@ -24,15 +24,15 @@
 
 
 @dataclass
-class OwedMessage:
+class OutstandingMessage:
     """A message in the module's hands, or one that is over with calls still out."""
 
-    taken: Taken
+    message: AcceptedMessage
     count: int
     over: bool
     confirmed: bool
     unwritten: bool
-    out: list[Out]
+    active_relays: list[OutstandingCall]
 
 
 @dataclass
@@ -44,9 +44,9 @@
     controller: Controller
     hosts: dict
     timers: list[tuple[datetime, int]]
-    owed: list[OwedMessage]
+    outstanding: list[OutstandingMessage]
     live: dict[str, Entry]
-    unanswered: list[tuple[Taken, Ended]]
+    unanswered: list[tuple[AcceptedMessage, MessageEnded]]
     ended: dict[str, datetime]
     unwritten: list[Record]
     discovery: tuple[str, int]
--- a/willownotch/handover/successor.py
+++ b/willownotch/handover/successor.py
@@ -133,7 +133,7 @@
 
     def cancel(self, relay: Relay) -> None:
         """Have the old process stop waiting for a call."""
-        self.cancel_by_id(relay.taken.ref, relay.number)
+        self.cancel_by_id(relay.message.ref, relay.number)
 
     def cancel_by_id(self, ref: str, number: int) -> None:
         """The same, for who knows only what it is called."""
--- a/willownotch/journal/records.py
+++ b/willownotch/journal/records.py
@@ -29,7 +29,7 @@
     acks: int
 
 
-class Taken(msgspec.Struct, tag="taken", frozen=True, array_like=True):
+class AcceptedMessage(msgspec.Struct, tag="taken", frozen=True, array_like=True):
     """A message that is owed its end. Its place in the file is its place in its key's order."""
 
     ref: str
@@ -41,7 +41,7 @@
     idempotency_key: str | None = None
     is_retry: bool = False
     body: bytes = b""
-    apart: str | None = None  # the file that holds the body, where an earlier version wrote it
+    legacy_file: str | None = None  # the file that holds the body, where an earlier version wrote it
     checksum: int = 0  # of a body that stands apart so
     place: Place | None = None  # of a body in the store
     unkept: bool = False  # its body is in memory for one relay, and nowhere else
@@ -54,7 +54,7 @@
         return self.place.size if self.place is not None else len(self.body)
 
 
-class Opened(msgspec.Struct, tag="opened", frozen=True, array_like=True):
+class RelayStarted(msgspec.Struct, tag="opened", frozen=True, array_like=True):
     """A relay is about to write its first byte: from now on it may have run."""
 
     ref: str
@@ -63,7 +63,7 @@
     host: str
 
 
-class Closed(msgspec.Struct, tag="closed", frozen=True, array_like=True):
+class RelayFailed(msgspec.Struct, tag="closed", frozen=True, array_like=True):
     """A relay has ended without delivery."""
 
     ref: str
@@ -71,7 +71,7 @@
     ran: bool
 
 
-class Ended(msgspec.Struct, tag="ended", frozen=True, array_like=True):
+class MessageEnded(msgspec.Struct, tag="ended", frozen=True, array_like=True):
     """A message is over here. Unless nothing is owed any more, a notice has still to be answered."""
 
     ref: str
@@ -83,76 +83,76 @@
         return self.outcome in ("given_up", "handed_back")
 
 
-class Noticed(msgspec.Struct, tag="noticed", frozen=True, array_like=True):
+class NoticeAnswered(msgspec.Struct, tag="noticed", frozen=True, array_like=True):
     """A message's notice was answered."""
 
     ref: str
 
 
-class Counted(msgspec.Struct, tag="counted", frozen=True, array_like=True):
+class RelaysCounted(msgspec.Struct, tag="counted", frozen=True, array_like=True):
     """So many relays there were by then; those that no other record names never ran."""
 
     ref: str
     count: int
 
 
-class Moved(msgspec.Struct, tag="moved", frozen=True, array_like=True):
+class BodyMoved(msgspec.Struct, tag="moved", frozen=True, array_like=True):
     """A message's body stands elsewhere in the store from now on."""
 
     ref: str
     place: Place
 
 
-Record = Taken | Opened | Closed | Ended | Noticed | Counted | Moved
+Record = AcceptedMessage | RelayStarted | RelayFailed | MessageEnded | NoticeAnswered | RelaysCounted | BodyMoved
 
 
 class Entry(msgspec.Struct):
     """What the journal knows of one message."""
 
-    taken: Taken
-    own_size: int  # of the first record
-    opened: dict[int, Opened] = {}
-    closed: dict[int, Closed] = {}
-    counted: int = 0  # relays, those that never ran among them: nothing else is kept of these
-    ended: Ended | None = None
+    message: AcceptedMessage
+    message_record_size: int  # of the first record
+    started: dict[int, RelayStarted] = {}
+    failed: dict[int, RelayFailed] = {}
+    counted_relays: int = 0  # relays, those that never ran among them: nothing else is kept of these
+    ended: MessageEnded | None = None
 
     def size(self) -> int:
         """Bytes to keep for its records, those that may follow among them."""
-        ref = self.taken.ref
-        return self.own_size + end_room(ref) + (AHEAD + len(self.opened)) * relay_room(ref)
+        ref = self.message.ref
+        return self.message_record_size + end_room(ref) + (AHEAD + len(self.started)) * relay_record_bytes(ref)
 
     def records(self) -> Iterator[Record]:
         """The fewest records that say the same."""
-        yield self.taken
-        yield from self.opened.values()
-        yield from self.closed.values()
-        if self.counted > max(self.opened, default=-1) + 1:
-            yield Counted(self.taken.ref, self.counted)
+        yield self.message
+        yield from self.started.values()
+        yield from self.failed.values()
+        if self.counted_relays > max(self.started, default=-1) + 1:
+            yield RelaysCounted(self.message.ref, self.counted_relays)
         if self.ended is not None:
             yield self.ended
 
     def count(self) -> int:
         """How many relays there were, as far as any left a trace."""
-        return max(self.counted, max(self.opened, default=-1) + 1)
+        return max(self.counted_relays, max(self.started, default=-1) + 1)
 
     def may_have_run(self, number: int) -> bool:
         """A relay that was open at the end of the process may have run."""
-        closed = self.closed.get(number)
-        return closed.ran if closed is not None else number in self.opened
+        closed = self.failed.get(number)
+        return closed.ran if closed is not None else number in self.started
 
 
-def moved_back(entry: Entry, now: datetime) -> bool:
+def rebase_future_times(entry: Entry, now: datetime) -> bool:
     """Whether a message was handed in after `now`, by a clock that has been set back since.
 
     Its times are moved back to it: it lives no longer than it was given.
     """
-    taken = entry.taken
-    if taken.at is None or taken.at <= now:
+    message = entry.message
+    if message.at is None or message.at <= now:
         return False
-    late = taken.at - now
-    entry.taken = msgspec.structs.replace(taken, at=now, ends_at=taken.ends_at - late)
-    for number, opened in entry.opened.items():
-        entry.opened[number] = msgspec.structs.replace(opened, at=min(now, opened.at))
+    late = message.at - now
+    entry.message = msgspec.structs.replace(message, at=now, ends_at=message.ends_at - late)
+    for number, opened in entry.started.items():
+        entry.started[number] = msgspec.structs.replace(opened, at=min(now, opened.at))
     return True
 
 
@@ -162,13 +162,13 @@
 
 def frame(record: Record) -> bytes:
     """A record as it stands in the file."""
-    if isinstance(record, Taken) and (record.apart or record.unkept):
+    if isinstance(record, AcceptedMessage) and (record.legacy_file or record.unkept):
         record = msgspec.structs.replace(record, body=b"")
     body = _encode(record)
     return FRAME.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def relay_room(ref: str) -> int:
+def relay_record_bytes(ref: str) -> int:
     """Bytes that one relay may take: its beginning, with its host's name, and its end."""
     return 2 * len(ref) + 160
 
@@ -178,9 +178,9 @@
     return 3 * (len(ref) + 48)
 
 
-def reserve(taken: Taken) -> int:
+def bytes_to_reserve(message: AcceptedMessage) -> int:
     """Bytes to keep for a message not taken on yet; a body in the store is not among them."""
-    return Entry(taken, len(frame(taken))).size()
+    return Entry(message, len(frame(message))).size()
 
 
 def read_frames(data: bytes) -> Iterator[Record | int]:
@@ -225,31 +225,31 @@
 def apply(live: dict[str, Entry], record: Record) -> int:
     """Let one record change what is live; how many bytes of room that takes."""
     entry = live.get(record.ref)
-    if isinstance(record, Taken):
+    if isinstance(record, AcceptedMessage):
         entry = live[record.ref] = Entry(record, len(frame(record)))
         return entry.size()
     if entry is None:
         return 0
     before = entry.size()
-    if isinstance(record, Opened):
-        entry.opened[record.number] = record
-    elif isinstance(record, Closed) and record.ran:
-        entry.closed[record.number] = record
-    elif isinstance(record, Closed):
+    if isinstance(record, RelayStarted):
+        entry.started[record.number] = record
+    elif isinstance(record, RelayFailed) and record.ran:
+        entry.failed[record.number] = record
+    elif isinstance(record, RelayFailed):
         # Most relays that are tried again were turned away: kept whole, they filled the disk.
-        entry.opened.pop(record.number, None)
-        entry.counted = max(entry.counted, record.number + 1)
-    elif isinstance(record, Counted):
-        entry.counted = max(entry.counted, record.count)
-    elif isinstance(record, Moved):
-        if entry.taken.place is not None:  # else it is over, and its notice is all that is owed
-            entry.taken = msgspec.structs.replace(entry.taken, place=record.place)
-            entry.own_size = len(frame(entry.taken))
-    elif isinstance(record, Ended) and record.owes_notice():
+        entry.started.pop(record.number, None)
+        entry.counted_relays = max(entry.counted_relays, record.number + 1)
+    elif isinstance(record, RelaysCounted):
+        entry.counted_relays = max(entry.counted_relays, record.count)
+    elif isinstance(record, BodyMoved):
+        if entry.message.place is not None:  # else it is over, and its notice is all that is owed
+            entry.message = msgspec.structs.replace(entry.message, place=record.place)
+            entry.message_record_size = len(frame(entry.message))
+    elif isinstance(record, MessageEnded) and record.owes_notice():
         # What ends by a notice keeps its place, for its key's sake, but needs its body no more.
         entry.ended = record
-        entry.taken = msgspec.structs.replace(entry.taken, body=b"", apart=None, place=None, unkept=False)
-        entry.own_size = len(frame(entry.taken))
+        entry.message = msgspec.structs.replace(entry.message, body=b"", legacy_file=None, place=None, unkept=False)
+        entry.message_record_size = len(frame(entry.message))
     else:
         del live[record.ref]
         return -before
--- a/willownotch/lab/load/trace.py
+++ b/willownotch/lab/load/trace.py
@@ -131,9 +131,9 @@
 def of_journal(records: Iterable) -> Plan:
     """What a journal's records say was handed in, in the order of time. Messages whose record has no time of
     hand-in, as earlier versions wrote them, are left out."""
-    from willownotch.journal.records import Taken
+    from willownotch.journal.records import AcceptedMessage
 
-    taken = sorted((r for r in records if isinstance(r, Taken) and r.at is not None), key=lambda r: r.at)
+    taken = sorted((r for r in records if isinstance(r, AcceptedMessage) and r.at is not None), key=lambda r: r.at)
     rows = []
     for record in taken:
         rows.append(
--- a/willownotch/lab/prices/trace.py
+++ b/willownotch/lab/prices/trace.py
@@ -18,7 +18,7 @@
 
 from willownotch import cli
 from willownotch import interface as api
-from willownotch.journal.records import Taken
+from willownotch.journal.records import AcceptedMessage
 from willownotch.lab.prices import lines
 from willownotch.net.client_side import ClientSide, Reply
 from willownotch.net.decision_loop import DecisionLoop
@@ -34,16 +34,16 @@
 class TracedClientSide(ClientSide):
     """Tells what comes, and what it is answered."""
 
-    def _hand_in(self, taken: Taken, read_at: datetime) -> Reply:
-        self.decision_loop.handed.add(taken.ref)
-        now, left = time.time(), (taken.ends_at - self.clock.now()).total_seconds()
+    def _hand_in(self, message: AcceptedMessage, read_at: datetime) -> Reply:
+        self.decision_loop.handed.add(message.ref)
+        now, left = time.time(), (message.ends_at - self.clock.now()).total_seconds()
         say(
             lines.Came(
-                now, taken.ref, taken.message_class, taken.tenant, taken.destination, taken.is_retry, left
+                now, message.ref, message.message_class, message.tenant, message.destination, message.is_retry, left
             )
         )
-        reply = super()._hand_in(taken, read_at)
-        say(lines.Answered(time.time(), taken.ref, reply.status))
+        reply = super()._hand_in(message, read_at)
+        say(lines.Answered(time.time(), message.ref, reply.status))
         return reply
 
 
@@ -89,7 +89,7 @@
                 say(lines.Called(at, action.ref, number, action.endpoint))
             elif isinstance(action, api.Refuse | api.Fail):
                 refused = isinstance(action, api.Refuse)
-                dest = self._outstanding[action.ref].taken.destination
+                dest = self._outstanding[action.ref].message.destination
                 say(
                     lines.Over(
                         at,
--- a/willownotch/net/client_requests.py
+++ b/willownotch/net/client_requests.py
@@ -7,7 +7,7 @@
 from datetime import datetime, timedelta
 from urllib.parse import parse_qs, urlsplit
 
-from willownotch.journal.records import Taken
+from willownotch.journal.records import AcceptedMessage
 from willownotch.net import http
 from willownotch.net.config import Config
 
@@ -24,7 +24,7 @@
         self.status = status
 
 
-def read_message(head: http.Head, body: bytes, arrived: datetime, config: Config) -> Taken:
+def read_message(head: http.Head, body: bytes, arrived: datetime, config: Config) -> AcceptedMessage:
     """A hand-in as the core knows it. Its time runs from the client's sending, its first byte here."""
     headers, settings = head.headers, config.settings
     ref, name, tenant = (headers.get(h, "") for h in ("request-id", "request-class", "tenant"))
@@ -47,7 +47,7 @@
     for wrong, text in faults:
         if wrong:
             raise RefusedError(400, text)
-    return Taken(
+    return AcceptedMessage(
         ref=ref,
         destination=int(dest[1]),
         message_class=name,
--- a/willownotch/net/client_side.py
+++ b/willownotch/net/client_side.py
@@ -18,7 +18,7 @@
 from willownotch.bodies.plan import Admission
 from willownotch.bodies.plan import Verdict as BodyVerdict
 from willownotch.bodies.store import Bodies
-from willownotch.journal.records import Taken
+from willownotch.journal.records import AcceptedMessage
 from willownotch.lifecycle import SharedLifecycle
 from willownotch.net import http, sockets
 from willownotch.net.client_connections import SILENT_TIME, Client, Stage, StageQueues, clients_most
@@ -71,7 +71,7 @@
     status: int
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
-    taken: str | None = None
+    message: str | None = None
     pending: PendingReply | None = None
 
 
@@ -414,10 +414,10 @@
             self.log.say(
                 "unanswered",
                 f"connection {client.number}: {reply.status} could not be written"
-                f"{f' for {reply.taken}, withdrawn' if reply.taken else ''}: {fault}",
+                f"{f' for {reply.message}, withdrawn' if reply.message else ''}: {fault}",
             )
-            if reply.taken is not None:
-                self.decision_loop.post(Withdraw(reply.taken, reply.pending))
+            if reply.message is not None:
+                self.decision_loop.post(Withdraw(reply.message, reply.pending))
             return False
         if client.bad and not last:
             # The same thing again as soon as it is turned away: it must not cost the others their share.
@@ -493,34 +493,34 @@
             return self.config
         return msgspec.structs.replace(self.config, rules={**dropped, **self.config.rules})
 
-    def _hand_in(self, taken: Taken, read_at: datetime) -> Reply:
+    def _hand_in(self, message: AcceptedMessage, read_at: datetime) -> Reply:
         """Its body into the store, itself into the owner's queue, and the verdict as HTTP has it."""
         if not self.lifecycle.current.takes_messages(self.clock.now()):
-            self.log.say("drained", f"back-off answer to {taken.ref}: this sender is being kept empty")
+            self.log.say("drained", f"back-off answer to {message.ref}: this sender is being kept empty")
             return self._back_off(RETRY, "drained")
         # Counted from the last byte: a large body may have been on its way for longer than all this.
         due = max(read_at + DECISION_TIMEOUT, self.clock.now() + PATIENCE_LEAST)
-        found = self._keep(taken, due)
+        found = self._keep(message, due)
         if isinstance(found, Admission):
             self.log.say(
                 "full",
-                f"back-off answer to {taken.ref} for destination {taken.destination}: " f"{found.reason}",
+                f"back-off answer to {message.ref} for destination {message.destination}: " f"{found.reason}",
             )
             return self._back_off(RETRY, "no room for its body")
-        taken, pending = found, PendingReply()
-        self.decision_loop.post(HandIn(taken, pending))
+        message, pending = found, PendingReply()
+        self.decision_loop.post(HandIn(message, pending))
         answer = pending.wait(due - self.clock.now(), CLAIMED_PATIENCE)
         if answer is not None and answer.verdict is Verdict.MOVED:
             raise MovedError
         if answer is None and pending.claimed:
-            raise RuntimeError(f"{taken.ref} was taken up and never decided")
+            raise RuntimeError(f"{message.ref} was taken up and never decided")
         if answer is None:
-            self.log.say("late", f"{taken.ref} was not taken up in time: back-off answer")
+            self.log.say("late", f"{message.ref} was not taken up in time: back-off answer")
             return self._back_off(RETRY, "not taken up in time")
         if answer.verdict is Verdict.ACCEPTED:
-            return Reply(202, taken=taken.ref, pending=pending)
+            return Reply(202, message=message.ref, pending=pending)
         if answer.verdict is Verdict.CONFLICT:
-            raise RefusedError(409, f"{taken.ref} is the id of another message")
+            raise RefusedError(409, f"{message.ref} is the id of another message")
         if answer.verdict is Verdict.REJECTED:
             return self._back_off(answer.retry, answer.reason)
         return Reply(500, b"given up\n")
@@ -529,12 +529,12 @@
         self.log.counters.add("request refused", reason)
         return Reply(503, headers=[("Retry-After", f"{millis(retry) / 1000:.3f}")])
 
-    def _keep(self, taken: Taken, due: datetime) -> Taken | Admission:
+    def _keep(self, message: AcceptedMessage, due: datetime) -> AcceptedMessage | Admission:
         """The message with its body where it stands until it is over, others making room if they must."""
-        found = self.bodies.keep(taken, due - self.clock.now())
+        found = self.bodies.keep(message, due - self.clock.now())
         if isinstance(found, Admission) and found.verdict is BodyVerdict.DROP_FIRST:
             pending: PendingReply[bool] = PendingReply()
-            self.decision_loop.post(MakeRoom(msgspec.structs.replace(taken, body=b""), found, pending))
+            self.decision_loop.post(MakeRoom(msgspec.structs.replace(message, body=b""), found, pending))
             if pending.wait(due - self.clock.now(), CLAIMED_PATIENCE):
-                found = self.bodies.keep(taken, due - self.clock.now(), last=True)
+                found = self.bodies.keep(message, due - self.clock.now(), last=True)
         return found
--- a/willownotch/net/events.py
+++ b/willownotch/net/events.py
@@ -11,7 +11,7 @@
 
 from willownotch.bodies.plan import Admission
 from willownotch.handover.state import HandoverState
-from willownotch.journal.records import Taken
+from willownotch.journal.records import AcceptedMessage
 from willownotch.net.clock import ZERO
 from willownotch.net.config import Config, ListUpdate
 from willownotch.net.pending import PendingReply
@@ -45,7 +45,7 @@
 class HandIn:
     """A message from a client, read whole and found valid."""
 
-    taken: Taken
+    message: AcceptedMessage
     pending: PendingReply[Answer]
 
 
@@ -53,7 +53,7 @@
 class MakeRoom:
     """A hand-in's body finds room only if others end. Answered with whether they did."""
 
-    taken: Taken
+    message: AcceptedMessage
     admission: Admission
     pending: PendingReply[bool]
 
--- a/willownotch/net/folder.py
+++ b/willownotch/net/folder.py
@@ -10,7 +10,7 @@
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
 from willownotch.interface import MessageClass
-from willownotch.journal.records import Entry, Moved
+from willownotch.journal.records import Entry, BodyMoved
 from willownotch.net.clock import Clock
 from willownotch.net.journal import Journal
 from willownotch.net.log import Log
@@ -39,10 +39,10 @@
         else:
             journal.adopt(live)
         bodies = Bodies(folder, files, space, clock, log, classes, settings, memory_mb)
-        lost = bodies.open([entry.taken for entry in journal.live.values() if entry.ended is None])
+        lost = bodies.open([entry.message for entry in journal.live.values() if entry.ended is None])
     except OSError:
         journal.close()
         raise
     journal.bodies, bodies.place_of, bodies.compact_journal = bodies, journal.place_of, journal.compact
-    bodies.moved = lambda ref, place: journal.append([Moved(ref, place)])
+    bodies.moved = lambda ref, place: journal.append([BodyMoved(ref, place)])
     return journal, bodies, lost
--- a/willownotch/net/journal.py
+++ b/willownotch/net/journal.py
@@ -19,18 +19,18 @@
 from willownotch.files.layer import REAL, Files
 from willownotch.files.space import Space
 from willownotch.journal.records import (
-    Ended,
+    MessageEnded,
     Entry,
-    Moved,
-    Opened,
+    BodyMoved,
+    RelayStarted,
     Record,
-    Taken,
+    AcceptedMessage,
     apply,
     frame,
-    moved_back,
-    relay_room,
+    rebase_future_times,
+    relay_record_bytes,
     replay,
-    reserve,
+    bytes_to_reserve,
 )
 
 NAME, NEW_NAME = "journal", "journal.new"
@@ -52,26 +52,26 @@
 class BodyWatch(Protocol):
     """Who is told, under the journal's lock, which bodies are owed."""
 
-    def entered(self, taken: Taken) -> None:
+    def body_recorded(self, message: AcceptedMessage) -> None:
         """A message is on record."""
 
-    def left(self, taken: Taken) -> None:
+    def body_released(self, message: AcceptedMessage) -> None:
         """It needs its body no more."""
 
-    def relocated(self, taken: Taken, place: Place) -> None:
+    def body_relocated(self, message: AcceptedMessage, place: Place) -> None:
         """Its body stands elsewhere now."""
 
 
 class NoBodies:
     """Nobody is told."""
 
-    def entered(self, taken: Taken) -> None:
+    def body_recorded(self, message: AcceptedMessage) -> None:
         """Nothing."""
 
-    def left(self, taken: Taken) -> None:
+    def body_released(self, message: AcceptedMessage) -> None:
         """Nothing."""
 
-    def relocated(self, taken: Taken, place: Place) -> None:
+    def body_relocated(self, message: AcceptedMessage, place: Place) -> None:
         """Nothing."""
 
 
@@ -106,7 +106,7 @@
             self.faults.append("no journal found: starting with nothing owed")
         self.live, damaged = replay(data)
         if now is not None:
-            late = sum(moved_back(entry, now) for entry in self.live.values())
+            late = sum(rebase_future_times(entry, now) for entry in self.live.values())
             if late:
                 self.faults.append(f"{late} messages have times after now, which were moved back to it")
         self.live_size = sum(entry.size() for entry in self.live.values())
@@ -148,11 +148,11 @@
     def place_of(self, ref: str) -> Place | None:
         """Where a live message's body stands in the store."""
         entry = self.live.get(ref)
-        return entry.taken.place if entry is not None else None
+        return entry.message.place if entry is not None else None
 
-    def fits(self, wanted: Iterable[Taken]) -> bool:
+    def fits(self, wanted: Iterable[AcceptedMessage]) -> bool:
         """Whether these messages may be owed, too, without the folder ever outgrowing its limit."""
-        return self.space.records_fit(self.live_size + sum(map(reserve, wanted)))
+        return self.space.records_fit(self.live_size + sum(map(bytes_to_reserve, wanted)))
 
     def append(self, records: Iterable[Record], adopted: bool = False) -> None:
         """Write these records, in this order, by one write. What is adopted was counted and copied before."""
@@ -163,7 +163,7 @@
         """What is live at one moment, in order, and what `number` says at the same."""
         with self._lock:
             return number(), [
-                msgspec.structs.replace(e, opened=dict(e.opened), closed=dict(e.closed))
+                msgspec.structs.replace(e, started=dict(e.started), failed=dict(e.failed))
                 for e in self.live.values()
             ]
 
@@ -183,8 +183,8 @@
         with self._lock:
             self._held()
             # The file may only grow so far that a new one still fits beside it.
-            most = self.space.journal_most(self.live_size)
-            if isinstance(records[0], Opened) and most < self.live_size + relay_room(records[0].ref):
+            most = self.space.max_journal_size(self.live_size)
+            if isinstance(records[0], RelayStarted) and most < self.live_size + relay_record_bytes(records[0].ref):
                 raise JournalFullError("what is left is kept for the ends of messages")
             if self._torn or self.size + len(data) > most:
                 self._rewrite()
@@ -193,21 +193,21 @@
             self._append(data)
             for record in records:
                 before = self.live.get(record.ref)
-                old = before.taken if before else None
+                old = before.message if before else None
                 self.live_size += apply(self.live, record)
                 after = self.live.get(record.ref)
-                self._tell(record, old, after.taken if after else None)
-                of = record if isinstance(record, Taken) else old
+                self._tell(record, old, after.message if after else None)
+                of = record if isinstance(record, AcceptedMessage) else old
                 if adopted or of is None:
                     continue
-                if self.counting is not None and isinstance(record, Taken | Ended):
-                    what = "taken" if isinstance(record, Taken) else record.outcome
+                if self.counting is not None and isinstance(record, AcceptedMessage | MessageEnded):
+                    what = "taken" if isinstance(record, AcceptedMessage) else record.outcome
                     counted.append((of.tenant, of.message_class, what))
-                if of.custody is not None and not isinstance(record, Moved):
+                if of.custody is not None and not isinstance(record, BodyMoved):
                     shipped.append((of.custody.book, record))
             if shipped and self.shipping is not None:
                 self.shipping(shipped)
-            self.space.journal_is(self.size, self.live_size)
+            self.space.set_journal_size(self.size, self.live_size)
         if counted:
             self.counting(counted)
 
@@ -242,17 +242,17 @@
             return False
         return True
 
-    def _tell(self, record: Record, old: Taken | None, new: Taken | None) -> None:
+    def _tell(self, record: Record, old: AcceptedMessage | None, new: AcceptedMessage | None) -> None:
         """Tell the body store what became of a body."""
         if old is new:
             return
-        if isinstance(record, Moved) and old is not None and new is not None:
-            self.bodies.relocated(old, record.place)
+        if isinstance(record, BodyMoved) and old is not None and new is not None:
+            self.bodies.body_relocated(old, record.place)
             return
         if old is not None:
-            self.bodies.left(old)
-        if isinstance(record, Taken):
-            self.bodies.entered(record)
+            self.bodies.body_released(old)
+        if isinstance(record, AcceptedMessage):
+            self.bodies.body_recorded(record)
 
     def _rewrite(self) -> None:
         """Put the live records into a new file and let it take the old one's place in one step."""
@@ -273,7 +273,7 @@
             raise
         old, self._file, self.size, self._torn = self._file, file, len(data), False
         self._close(old)
-        self.space.journal_is(self.size, self.live_size)
+        self.space.set_journal_size(self.size, self.live_size)
 
     def _close(self, file: int) -> None:
         """Close a descriptor. An error leaves it closed, too, and says nothing of what was read back."""
--- a/willownotch/net/owner.py
+++ b/willownotch/net/owner.py
@@ -20,12 +20,12 @@
 import msgspec
 
 from willownotch import interface as api
-from willownotch.bodies.plan import Candidate, ending
-from willownotch.bodies.store import Bodies, content
+from willownotch.bodies.plan import Candidate, outcome_without_body
+from willownotch.bodies.store import Bodies, size_and_checksum
 from willownotch.control import Controller
-from willownotch.handover.state import HandoverState, Out, OwedMessage
+from willownotch.handover.state import HandoverState, OutstandingCall, OutstandingMessage
 from willownotch.journal import records as kept_records
-from willownotch.journal.records import Closed, Ended, Entry, Record, Taken
+from willownotch.journal.records import RelayFailed, MessageEnded, Entry, Record, AcceptedMessage
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net import bulk, http
 from willownotch.net.clock import ZERO, Clock, millis, seconds, span
@@ -81,9 +81,9 @@
 class Owed:
     """A message in the module's hands, its relays counted as the module counts them."""
 
-    taken: Taken
+    message: AcceptedMessage
     count: int = 0
-    out: dict[int, Relay] = field(default_factory=dict)
+    active_relays: dict[int, Relay] = field(default_factory=dict)
     over: bool = False
     pending: PendingReply | None = None  # until its client has its answer
     by: PendingReply | None = None  # of the hand-in that it was taken on by
@@ -93,19 +93,19 @@
     parked: list[Relay] = field(default_factory=list)  # and so do its relays
 
 
-def same_message(one: Taken, other: Taken) -> bool:
+def same_message(one: AcceptedMessage, other: AcceptedMessage) -> bool:
     """Whether two hand-ins under one id are of the same message; its time left differs each time."""
     fields = ("destination", "message_class", "tenant", "key", "idempotency_key")
     return all(getattr(one, name) == getattr(other, name) for name in fields) and (
-        one.body == other.body if one.place is None is other.place else content(one) == content(other)
+        one.body == other.body if one.place is None is other.place else size_and_checksum(one) == size_and_checksum(other)
     )
 
 
 def soonest_first(entries: list[Entry]) -> list[Entry]:
     """Recovered messages as the module is told of them: all come in one round, and among equals it goes by
     their order. What has a key keeps the journal's, which is its key's."""
-    keyed = [entry for entry in entries if entry.taken.key is not None]
-    return keyed + sorted((e for e in entries if e.taken.key is None), key=lambda e: e.taken.ends_at)
+    keyed = [entry for entry in entries if entry.message.key is not None]
+    return keyed + sorted((e for e in entries if e.message.key is None), key=lambda e: e.message.ends_at)
 
 
 class DecisionLoop(ReplicationMixin):
@@ -144,7 +144,7 @@
         self._timers: list[tuple[datetime, int, int | Relay]] = []
         self._order = itertools.count()
         self._outstanding: dict[str, Owed] = {}
-        self._unanswered: dict[str, tuple[Taken, Ended]] = {}  # messages whose notice is not answered yet
+        self._unanswered: dict[str, tuple[AcceptedMessage, MessageEnded]] = {}  # messages whose notice is not answered yet
         self._gates: dict[str, set[str]] = {}  # of a key, those of them: its next relay waits
         self._gated: dict[str, list[Relay]] = {}
         self._ended: dict[str, datetime] = {}  # ids that are over, until when they are remembered
@@ -158,7 +158,7 @@
         self._open = 0  # messages that are not over
         self._leaving: list[Relay] = []  # begun in this round
         self._unwritten: list[Record] = []  # records that the disk did not take
-        self._dropped: list[tuple[Owed, Ended]] = []  # ended in this round for the sake of others
+        self._dropped: list[tuple[Owed, MessageEnded]] = []  # ended in this round for the sake of others
 
     def _settings_of(self, config: Config) -> api.Settings:
         """Those of the module: whether others can be told is not the platform's to say where peers are."""
@@ -176,12 +176,12 @@
         """These messages' notices were answered; any thread may say so."""
         self.post(Noticed(refs))
 
-    def turned_away(self, taken: Taken) -> bool:
+    def would_reject(self, message: AcceptedMessage) -> bool:
         """Whether a hand-in would be turned away as things are, whatever its body; any thread may ask."""
         return (
             not self.lifecycle.current.listed
             or self._open >= self.settings.holding_room
-            or not self.hosts.listed(taken.destination)
+            or not self.hosts.listed(message.destination)
         )
 
     def run(self) -> None:
@@ -224,16 +224,16 @@
             ended=self._ended,
             unwritten=self._unwritten,
             timers=[(when, thing) for when, _, thing in self._timers if not isinstance(thing, Relay)],
-            owed=[
-                OwedMessage(
-                    owed.taken,
+            outstanding=[
+                OutstandingMessage(
+                    owed.message,
                     owed.count,
                     owed.over,
                     owed.confirmed,
                     owed.unwritten,
                     [
-                        Out(r.number, r.endpoint, r.host, r.begun_at, r.ends_at, r in gated)
-                        for r in owed.out.values()
+                        OutstandingCall(r.number, r.endpoint, r.host, r.begun_at, r.ends_at, r in gated)
+                        for r in owed.active_relays.values()
                     ],
                 )
                 for owed in self._outstanding.values()
@@ -258,19 +258,19 @@
             elif isinstance(item, RemoteEnded):
                 # Of the process before this one, which has calls out still and knows of no third.
                 for ended in self._remote_ended(item, self.clock.now()):
-                    self._outstanding[ended.relay.taken.ref].out.pop(ended.relay.number, None)
+                    self._outstanding[ended.relay.message.ref].active_relays.pop(ended.relay.number, None)
                     self.forward(ended)
             elif isinstance(item, Flush):
                 item.done.set()
 
     def remote_calls(self) -> int:
         """Calls that the process before this one has out; any thread may ask."""
-        return sum(relay.remote for owed in list(self._outstanding.values()) for relay in list(owed.out.values()))
+        return sum(relay.remote for owed in list(self._outstanding.values()) for relay in list(owed.active_relays.values()))
 
     def cancel_remote(self, ref: str, number: int) -> None:
         """Have the process before this one stop waiting for a call, if it is one of its; any thread may."""
         owed = self._outstanding.get(ref)
-        relay = owed.out.get(number) if owed is not None else None
+        relay = owed.active_relays.get(number) if owed is not None else None
         if relay is not None and relay.remote:
             self.cancel(relay)
 
@@ -285,31 +285,31 @@
         self.list_index = state.list_index
         for when, label in state.timers:
             heapq.heappush(self._timers, (when, next(self._order), label))
-        for known in state.owed:
-            owed = self._outstanding[known.taken.ref] = Owed(known.taken, known.count, over=known.over)
+        for known in state.outstanding:
+            owed = self._outstanding[known.message.ref] = Owed(known.message, known.count, over=known.over)
             owed.confirmed, owed.unwritten = known.confirmed, known.unwritten
             self._open += not owed.over
-            for out in known.out:
+            for out in known.active_relays:
                 relay = Relay(
-                    known.taken,
+                    known.message,
                     out.number,
                     out.endpoint,
                     out.host,
                     out.begun_at,
                     out.ends_at,
                     remote=not out.gated,
-                    repeatable=self._repeatable(known.taken),
+                    repeatable=self._repeatable(known.message),
                 )
-                owed.out[out.number] = relay
+                owed.active_relays[out.number] = relay
                 if out.gated:
                     self._gate(relay)
                 else:  # should the other process say nothing: hung, or held up
                     heapq.heappush(self._timers, (out.ends_at + REMOTE_GRACE, next(self._order), relay))
-        for taken, ended in state.unanswered:
-            self._owe_notice(taken, ended)
+        for message, ended in state.unanswered:
+            self._owe_notice(message, ended)
         for ref in self.lost_bodies:
             self.post(BodyLost(ref))
-        remote = sum(relay.remote for owed in self._outstanding.values() for relay in owed.out.values())
+        remote = sum(relay.remote for owed in self._outstanding.values() for relay in owed.active_relays.values())
         self.log.say(
             "upgrade",
             f"taken over: {self._open} messages owed, {remote} calls out in the process "
@@ -348,10 +348,10 @@
         if self.shared is not None:
             self.shared.configure({t.name: t.quota_per_s for t in self.settings.tenants})
         for entry in list(self.journal.live.values()):
-            if entry.taken.custody is not None:
-                if self.custody is not None and self.custody.former(entry.taken.custody):
+            if entry.message.custody is not None:
+                if self.custody is not None and self.custody.former(entry.message.custody):
                     continue  # perhaps another's by now: it is claimed first
-                entry.taken = msgspec.structs.replace(entry.taken, custody=None)
+                entry.message = msgspec.structs.replace(entry.message, custody=None)
             if self._still_owed(entry, lost):
                 self._recovered.append(entry)
         owed, open_notices = len(self._recovered), len(self._unanswered)
@@ -361,23 +361,23 @@
 
     def _still_owed(self, entry: Entry, lost: Collection[str] = ()) -> bool:
         """Whether a recovered message can go on; else its end is written, and its notice owed."""
-        ref = entry.taken.ref
+        ref = entry.message.ref
         if entry.ended is not None:
-            self._owe_notice(entry.taken, entry.ended)
+            self._owe_notice(entry.message, entry.ended)
             return False
-        if entry.taken.rules is None and entry.taken.message_class not in self.classes:
+        if entry.message.rules is None and entry.message.message_class not in self.classes:
             self.log.say("recover", f"{ref} given up: class no longer configured")
-            ended = Ended(ref, "given_up")
-        elif entry.taken.unkept or ref in lost:
+            ended = MessageEnded(ref, "given_up")
+        elif entry.message.unkept or ref in lost:
             # Its end is still owed, but what to deliver is lost.
             ran = any(entry.may_have_run(n) for n in range(entry.count()))
-            ended = self._body_ended(entry.taken, ran)
-            why = "was never kept" if entry.taken.unkept else "is missing or cut off"
+            ended = self._body_ended(entry.message, ran)
+            why = "was never kept" if entry.message.unkept else "is missing or cut off"
             self.log.say("recover", f"{ref} {ended.outcome}: its body {why}")
         else:
             return True
         self._write([ended])
-        self._owe_notice(entry.taken, ended)
+        self._owe_notice(entry.message, ended)
         return False
 
     def _round(self, items: list[Item]) -> None:
@@ -404,7 +404,7 @@
         self._write(records)
         self._settle(fresh, ends)
         for owed, ended in self._dropped:
-            self._owe_notice(owed.taken, ended)
+            self._owe_notice(owed.message, ended)
         self._dropped.clear()
         for item in items:
             if isinstance(item, MakeRoom):
@@ -414,7 +414,7 @@
             if owed.copying:  # nothing was promised yet
                 self._answer_end(owed, ended)
             elif owed.pending is None:
-                self._owe_notice(owed.taken, ended)
+                self._owe_notice(owed.message, ended)
             self._forget(owed, now, remember=ended.outcome == "given_up" and owed.pending is None)
         for action in actions:
             self._act(action, now)
@@ -448,7 +448,7 @@
             events.append(news)
             for number in left:
                 self.close_idle(number)
-            if len(self.bodies.outlooks) > 2 * len(self.hosts.by_number) + OUTLOOKS_SPARE:
+            if len(self.bodies.forecasts) > 2 * len(self.hosts.by_number) + OUTLOOKS_SPARE:
                 self.bodies.forget_destinations({host.destination for host in self.hosts.by_number.values()})
         elif isinstance(item, Noticed):
             for ref in item.refs:
@@ -479,14 +479,14 @@
             self._retune(item.config, events)
         elif isinstance(item, BodyLost):
             owed = self._outstanding.get(item.ref)
-            idle = owed is not None and not owed.over and not owed.out and not owed.copying
+            idle = owed is not None and not owed.over and not owed.active_relays and not owed.copying
             if idle:  # else its next relay finds it so
                 self._end_without_body(owed, "is missing or damaged", now, events)
         elif isinstance(item, Withdraw):
             owed = self._outstanding.get(item.ref)
             # Only who handed it in may: the id alone is known to anybody.
             if owed is not None and owed.by is item.pending and not owed.over and not owed.confirmed:
-                records.append(Ended(item.ref, "withdrawn"))
+                records.append(MessageEnded(item.ref, "withdrawn"))
                 events.append(api.Withdrawn(item.ref))
                 self._forget(owed, now)
         else:
@@ -539,122 +539,122 @@
             f"{self.settings.holding_room}; {self._open} messages in hand keep the rules they have",
         )
 
-    def _class(self, taken: Taken) -> api.MessageClass:
+    def _class(self, message: AcceptedMessage) -> api.MessageClass:
         """The rules that a message was taken under."""
-        if taken.rules is not None:
-            return class_of(taken.message_class, taken.rules)
-        return self.settings.classes[self.classes[taken.message_class]]
+        if message.rules is not None:
+            return class_of(message.message_class, message.rules)
+        return self.settings.classes[self.classes[message.message_class]]
 
-    def _repeatable(self, taken: Taken) -> bool:
-        return self._class(taken).idempotency is not api.Idempotency.UNSAFE
+    def _repeatable(self, message: AcceptedMessage) -> bool:
+        return self._class(message).idempotency is not api.Idempotency.UNSAFE
 
     def _hand_in(
         self, item: HandIn, now: datetime, events: list[api.Event], records: list[Record], fresh: list[Owed]
     ) -> None:
-        taken = item.taken
+        message = item.message
         if not item.pending.claim():
-            self.bodies.discard(taken)
+            self.bodies.discard(message)
             return
         if self.shared is not None:
-            self.shared.wanted(taken.tenant)
-        known = self._outstanding.get(taken.ref)
+            self.shared.wanted(message.tenant)
+        known = self._outstanding.get(message.ref)
         if known is not None and not known.over:
             self._hand_in_again(item, known)
-            self.bodies.discard(taken)
+            self.bodies.discard(message)
             return
-        found = next((e.taken for e in self._recovered or () if e.taken.ref == taken.ref), None)
-        if found is not None and same_message(taken, found):  # turned away, it would come under another id
-            self.bodies.discard(taken)
+        found = next((e.message for e in self._recovered or () if e.message.ref == message.ref), None)
+        if found is not None and same_message(message, found):  # turned away, it would come under another id
+            self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.ACCEPTED))
             return
-        if self._ended.get(taken.ref, now) > now:
-            self.bodies.discard(taken)
+        if self._ended.get(message.ref, now) > now:
+            self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.ACCEPTED))
             return
-        mark = self.custody.mark(taken.message_class) if self.custody is not None else None
+        mark = self.custody.mark(message.message_class) if self.custody is not None else None
         # What was handed back may come again under its id, but not while a relay or its notice is still out.
-        lasting = known is not None or taken.ref in self._unanswered
+        lasting = known is not None or message.ref in self._unanswered
         faults = [
             (not self.lifecycle.current.listed, "early", "not ready yet"),
-            (not self.hosts.listed(taken.destination), "unlisted", "it has no host"),
+            (not self.hosts.listed(message.destination), "unlisted", "it has no host"),
             (lasting, "full", "its id is not free yet"),
             (self._open >= self.settings.holding_room, "full", "the holding room is used up"),
             (mark is False, "custody", "too few copies of it can be had"),
         ]
-        if lasting and self._may_have_run(taken):  # 503 would invite a second run under another id
-            self.bodies.discard(taken)
+        if lasting and self._may_have_run(message):  # 503 would invite a second run under another id
+            self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.FAILED))
-            self.log.say("conflict", f"{taken.ref} was handed in before and may have run: failed")
+            self.log.say("conflict", f"{message.ref} was handed in before and may have run: failed")
             return
         refusal = next(((sort, why) for wrong, sort, why in faults if wrong), None)
-        if refusal is None and not self._record_fits(taken, fresh, now, events):
+        if refusal is None and not self._record_fits(message, fresh, now, events):
             refusal = "full", "the disk is used up"
         if refusal is not None:
             sort, why = refusal
-            self.bodies.discard(taken)
+            self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.REJECTED, BACK_OFF, sort))
-            text = f"back-off answer to {taken.ref} for destination {taken.destination}"
+            text = f"back-off answer to {message.ref} for destination {message.destination}"
             self.log.say(sort, f"{text}: {why}, {self._open} of {self.settings.holding_room} held")
             return
         if mark:
-            taken = msgspec.structs.replace(taken, custody=mark)
-        owed = self._outstanding[taken.ref] = Owed(taken, pending=item.pending, by=item.pending)
+            message = msgspec.structs.replace(message, custody=mark)
+        owed = self._outstanding[message.ref] = Owed(message, pending=item.pending, by=item.pending)
         self._open += 1
         fresh.append(owed)
-        records.append(taken)
-        events.append(self._message(taken, now))
+        records.append(message)
+        events.append(self._message(message, now))
 
-    def _may_have_run(self, taken: Taken) -> bool:
+    def _may_have_run(self, message: AcceptedMessage) -> bool:
         """Whether an id that is over, and not forgotten yet, is one that may not run again and may have."""
-        if self._repeatable(taken):
+        if self._repeatable(message):
             return False
-        known, ended = self._outstanding.get(taken.ref), self._unanswered.get(taken.ref, (None, None))[1]
-        return (known is not None and bool(known.out)) or (ended is not None and ended.outcome == "given_up")
+        known, ended = self._outstanding.get(message.ref), self._unanswered.get(message.ref, (None, None))[1]
+        return (known is not None and bool(known.active_relays)) or (ended is not None and ended.outcome == "given_up")
 
-    def _record_fits(self, taken: Taken, fresh: list[Owed], now: datetime, events: list[api.Event]) -> bool:
+    def _record_fits(self, message: AcceptedMessage, fresh: list[Owed], now: datetime, events: list[api.Event]) -> bool:
         """Whether a message's record has room, if need be at the cost of what may be dropped."""
-        wanted = [*(owed.taken for owed in fresh), taken]
+        wanted = [*(owed.message for owed in fresh), message]
         if self.journal.fits(wanted):
             return True
-        candidates = [c for c in self._candidates() if self._outstanding[c.ref].taken.body]
-        need = kept_records.reserve(taken)
-        for candidate in self.bodies.victims(taken.message_class, need, candidates, inline=True):
-            self._drop(candidate, taken, now, events)
+        candidates = [c for c in self._candidates() if self._outstanding[c.ref].message.body]
+        need = kept_records.bytes_to_reserve(message)
+        for candidate in self.bodies.victims(message.message_class, need, candidates, inline=True):
+            self._drop(candidate, message, now, events)
         return self.journal.fits(wanted)
 
     def _candidates(self) -> list[Candidate]:
         """Owed messages that may have to make room: answered, with no relay out, of a class that is
         dropped."""
-        plans, found, next_s = self.bodies.plans, [], {}
+        plans, found, expected_wait_s = self.bodies.plans, [], {}
         for owed in islice(self._outstanding.values(), LOOKED_AT):
-            taken = owed.taken
-            plan = plans.get(taken.message_class)
-            if plan is None or not plan.own.drop or owed.over or owed.out or owed.pending is not None:
+            message = owed.message
+            plan = plans.get(message.message_class)
+            if plan is None or not plan.body_settings.drop or owed.over or owed.active_relays or owed.pending is not None:
                 continue
-            dest = taken.destination
-            if dest not in next_s:
-                next_s[dest] = self.bodies.next_s(dest)
-            found.append(Candidate(taken.ref, taken.message_class, dest, taken.body_size(), next_s[dest]))
+            dest = message.destination
+            if dest not in expected_wait_s:
+                expected_wait_s[dest] = self.bodies.expected_wait_s(dest)
+            found.append(Candidate(message.ref, message.message_class, dest, message.body_size(), expected_wait_s[dest]))
         return found
 
     def _make_room(self, item: MakeRoom, now: datetime, events: list[api.Event]) -> None:
         """End what may be dropped, so that a body worth more finds room."""
         if not item.pending.claim():
             return
-        admission, taken = item.admission, item.taken
+        admission, message = item.admission, item.message
         chosen = self.bodies.victims(
-            taken.message_class,
-            admission.need,
-            [c for c in self._candidates() if self._outstanding[c.ref].taken.place],
+            message.message_class,
+            admission.bytes_needed,
+            [c for c in self._candidates() if self._outstanding[c.ref].message.place],
             admission.destination,
         )
         for candidate in chosen:
-            self._drop(candidate, taken, now, events)
+            self._drop(candidate, message, now, events)
 
-    def _drop(self, candidate: Candidate, taken: Taken, now: datetime, events: list[api.Event]) -> None:
+    def _drop(self, candidate: Candidate, message: AcceptedMessage, now: datetime, events: list[api.Event]) -> None:
         self._end_without_body(
             self._outstanding[candidate.ref],
-            f"of {candidate.size} bytes makes room for {taken.message_class} " f"{taken.ref}",
+            f"of {candidate.size} bytes makes room for {message.message_class} " f"{message.ref}",
             now,
             events,
         )
@@ -666,31 +666,31 @@
 
         Its record is written by itself: what is taken on in this round may need the room.
         """
-        ref, entry = owed.taken.ref, self.journal.live.get(owed.taken.ref)
+        ref, entry = owed.message.ref, self.journal.live.get(owed.message.ref)
         number = last.relay.number if last is not None else -1
         ran = (
-            bool(owed.out)
+            bool(owed.active_relays)
             or entry is None
             or any(entry.may_have_run(n) for n in range(entry.count()) if n != number)
         )
         ran = ran or (last is not None and RAN_BY_OUTCOME[last.outcome] is not Ran.NEVER)
-        ended = self._body_ended(owed.taken, ran)
+        ended = self._body_ended(owed.message, ran)
         self.log.say("dropped", f"{ref} {ended.outcome}: its body {why}")
         self._write([ended])
         events.append(api.Withdrawn(ref))
         self._dropped.append((owed, ended))
         self._forget(owed, now, remember=ended.outcome == "given_up")
 
-    def _body_ended(self, taken: Taken, ran: bool) -> Ended:
-        outcome = ending(self._class(taken).idempotency, ran)
+    def _body_ended(self, message: AcceptedMessage, ran: bool) -> MessageEnded:
+        outcome = outcome_without_body(self._class(message).idempotency, ran)
         most = span(self.settings.max_retry_after_s)
         retry = millis(min(most, self.bodies.settings.come_back)) if outcome == "handed_back" else 0
-        return Ended(taken.ref, outcome, retry or None)
+        return MessageEnded(message.ref, outcome, retry or None)
 
     def _hand_in_again(self, item: HandIn, known: Owed) -> None:
         """An id that is open: the same message, its connection closed under it, or a stranger's."""
-        if not same_message(item.taken, known.taken):
-            self.log.say("conflict", f"{item.taken.ref} is open with another content, answered 409")
+        if not same_message(item.message, known.message):
+            self.log.say("conflict", f"{item.message.ref} is open with another content, answered 409")
             item.pending.settle(Answer(Verdict.CONFLICT))
         elif known.pending is not None:  # not decided yet: to be told what the first is told would be a guess
             item.pending.settle(Answer(Verdict.REJECTED, BACK_OFF, "its id is being decided"))
@@ -698,41 +698,41 @@
             known.confirmed = True
             item.pending.settle(Answer(Verdict.ACCEPTED))
 
-    def _message(self, taken: Taken, now: datetime, past: tuple[api.PastAttempt, ...] = ()) -> api.Message:
+    def _message(self, message: AcceptedMessage, now: datetime, past: tuple[api.PastAttempt, ...] = ()) -> api.Message:
         return api.Message(
-            taken.ref,
-            taken.destination,
-            self.classes.get(taken.message_class, 0),
-            seconds(taken.ends_at - now),
-            self.tenants.get(taken.tenant, 0),
-            taken.key,
-            is_retry=taken.is_retry or bool(past),
+            message.ref,
+            message.destination,
+            self.classes.get(message.message_class, 0),
+            seconds(message.ends_at - now),
+            self.tenants.get(message.tenant, 0),
+            message.key,
+            is_retry=message.is_retry or bool(past),
             past=past,
-            rules=self._class(taken),
+            rules=self._class(message),
         )
 
     def _recall(self, entry: Entry, now: datetime) -> api.Message:
         """A recovered message. What was out at the end may have run; what left no trace never began."""
         past = []
         for number in range(entry.count()):
-            opened = entry.opened.get(number)
+            opened = entry.started.get(number)
             ago = seconds(now - opened.at) if opened else 0.0
             host = self.hosts.number(opened.host) if opened else 0
             past.append(api.PastAttempt(host, ago, entry.may_have_run(number)))
-        self._outstanding[entry.taken.ref] = Owed(entry.taken, count=len(past))
+        self._outstanding[entry.message.ref] = Owed(entry.message, count=len(past))
         self._open += 1
-        return self._message(entry.taken, now, tuple(past))
+        return self._message(entry.message, now, tuple(past))
 
     def _remote_ended(self, item: RemoteEnded, now: datetime) -> list[RelayEnded]:
         """What the process before this one tells of its calls. Untold at its end, they may have run."""
         if item.gone:
-            left = [relay for owed in self._outstanding.values() for relay in owed.out.values() if relay.remote]
+            left = [relay for owed in self._outstanding.values() for relay in owed.active_relays.values() if relay.remote]
             if left:
                 self.log.say(
                     "upgrade", f"the process before is gone with {len(left)} calls out: they may " "have run"
                 )
             return [RelayEnded(relay, api.Outcome.BROKEN, now - relay.begun_at) for relay in left]
-        relay = self._outstanding[item.ref].out.get(item.number) if item.ref in self._outstanding else None
+        relay = self._outstanding[item.ref].active_relays.get(item.number) if item.ref in self._outstanding else None
         if relay is None or not relay.remote:
             return []
         item.ended.relay = relay
@@ -741,24 +741,24 @@
     def _relay_ended(
         self, ended: RelayEnded, now: datetime, events: list[api.Event], records: list[Record]
     ) -> None:
-        relay, ref = ended.relay, ended.relay.taken.ref
+        relay, ref = ended.relay, ended.relay.message.ref
         owed = self._outstanding.get(ref)
-        if owed is None or owed.out.pop(relay.number, None) is None:
+        if owed is None or owed.active_relays.pop(relay.number, None) is None:
             return
         if not owed.over:
             if ended.over:
                 delivered = ended.outcome is api.Outcome.DELIVERED
-                records.append(Ended(ref, "delivered" if delivered else "withdrawn"))
+                records.append(MessageEnded(ref, "delivered" if delivered else "withdrawn"))
             else:
-                records.append(Closed(ref, relay.number, RAN_BY_OUTCOME[ended.outcome] is not Ran.NEVER))
-        self.bodies.observe(owed.taken.destination, ended.outcome, ended.wait)
+                records.append(RelayFailed(ref, relay.number, RAN_BY_OUTCOME[ended.outcome] is not Ran.NEVER))
+        self.bodies.observe(owed.message.destination, ended.outcome, ended.wait)
         if self.shared is not None and ended.limit_per_s and relay.host is not None:
             self.shared.limit(time.monotonic(), relay.host.name, ended.limit_per_s)
-        if not owed.over and not ended.over and not owed.out:
+        if not owed.over and not ended.over and not owed.active_relays:
             # Before the outcome: told of it alone, the module could want the next relay.
             if ended.lost:
                 self._end_without_body(owed, "is missing or damaged", now, events, ended)
-            elif owed.taken.unkept and relay.opened:
+            elif owed.message.unkept and relay.started:
                 self._end_without_body(owed, "was kept for one relay only", now, events, ended)
         final = owed.over or ended.over
         events.append(
@@ -786,7 +786,7 @@
             if isinstance(thing, Relay) and thing.remote:
                 self._give_up_remote(thing, now)
             elif isinstance(thing, Relay):
-                waiting = self._gated.get(thing.taken.key or "", [])
+                waiting = self._gated.get(thing.message.key or "", [])
                 if thing in waiting:
                     waiting.remove(thing)
                     self.post(RelayEnded(thing, api.Outcome.NOT_SENT, now - thing.begun_at))
@@ -795,33 +795,33 @@
 
     def _give_up_remote(self, relay: Relay, now: datetime) -> None:
         """Wait no longer for the process before to tell a call's end: it holds a slot and its key."""
-        owed = self._outstanding.get(relay.taken.ref)
-        if owed is not None and owed.out.get(relay.number) is relay:
+        owed = self._outstanding.get(relay.message.ref)
+        if owed is not None and owed.active_relays.get(relay.number) is relay:
             self.log.say(
                 "upgrade",
                 f"the process before has not told the end of attempt {relay.number} of "
-                f"{relay.taken.ref}: it may have run",
+                f"{relay.message.ref}: it may have run",
             )
             self.post(RelayEnded(relay, api.Outcome.TIMED_OUT, now - relay.begun_at))
 
     def _endings(
         self, actions: list[api.Action], records: list[Record], fresh: list[Owed]
-    ) -> dict[str, Ended]:
+    ) -> dict[str, MessageEnded]:
         """The module's final answers. One given in the hand-in's own round needs no record and no notice."""
         ends = {}
         for action in actions:
             if isinstance(action, api.Refuse):
                 retry = millis(span(action.retry_after_s)) or None
-                ends[action.ref] = Ended(action.ref, "handed_back", retry)
+                ends[action.ref] = MessageEnded(action.ref, "handed_back", retry)
             elif isinstance(action, api.Fail):
-                ends[action.ref] = Ended(action.ref, "given_up")
-        refused = {owed.taken.ref for owed in fresh if owed.taken.ref in ends}
+                ends[action.ref] = MessageEnded(action.ref, "given_up")
+        refused = {owed.message.ref for owed in fresh if owed.message.ref in ends}
         for owed in fresh:
-            if owed.taken.ref in refused:
-                self.bodies.discard(owed.taken)
-        records[:] = [r for r in records if not (isinstance(r, Taken) and r.ref in refused)]
+            if owed.message.ref in refused:
+                self.bodies.discard(owed.message)
+        records[:] = [r for r in records if not (isinstance(r, AcceptedMessage) and r.ref in refused)]
         records += [
-            Ended(ref, "withdrawn") if self._outstanding[ref].copying else ended
+            MessageEnded(ref, "withdrawn") if self._outstanding[ref].copying else ended
             for ref, ended in ends.items()
             if ref not in refused
         ]
@@ -835,7 +835,7 @@
             self.journal.append(records)
         except (OSError, JournalFullError) as fault:
             # Nothing new may be promised on a record that is not there; endings are still told.
-            unwritten = {r.ref for r in records if isinstance(r, Taken)}
+            unwritten = {r.ref for r in records if isinstance(r, AcceptedMessage)}
             # A record that is perhaps in the file is the next process's message: no 503 may be told for it.
             unsure = isinstance(fault, JournalUnsureError)
             answer = Answer(Verdict.FAILED) if unsure else Answer(Verdict.REJECTED, BACK_OFF, "not written")
@@ -851,25 +851,25 @@
                     owed.pending.settle(answer)
                     owed.pending = None
                 owed.unwritten = True
-                self.bodies.discard(owed.taken)
-                self.post(Withdraw(owed.taken.ref, owed.by))
+                self.bodies.discard(owed.message)
+                self.post(Withdraw(owed.message.ref, owed.by))
 
-    def _settle(self, fresh: list[Owed], ends: dict[str, Ended]) -> None:
+    def _settle(self, fresh: list[Owed], ends: dict[str, MessageEnded]) -> None:
         """Answer the clients of this round."""
         for owed in fresh:
-            ended = ends.get(owed.taken.ref)
+            ended = ends.get(owed.message.ref)
             if owed.pending is None:
                 continue
             if ended is not None:
                 self._answer_end(owed, ended)
-            elif owed.taken.custody is not None and self.custody is not None:
+            elif owed.message.custody is not None and self.custody is not None:
                 self._await_copies(owed)
             else:
                 owed.pending.settle(Answer(Verdict.ACCEPTED))
                 owed.pending = None
 
     @staticmethod
-    def _answer_end(owed: Owed, ended: Ended) -> None:
+    def _answer_end(owed: Owed, ended: MessageEnded) -> None:
         """Tell a client, who waits, what became of its message."""
         if ended.outcome == "handed_back":
             retry = timedelta(milliseconds=ended.retry_in_ms) if ended.retry_in_ms else BACK_OFF
@@ -877,24 +877,24 @@
         else:
             owed.pending.settle(Answer(Verdict.FAILED))
 
-    def _owe_notice(self, taken: Taken, ended: Ended) -> None:
+    def _owe_notice(self, message: AcceptedMessage, ended: MessageEnded) -> None:
         """Tell the platform. The next relay of its key waits until that is answered."""
-        ref = taken.ref
-        self._unanswered[ref] = taken, ended
-        if taken.key is not None:
-            self._gates.setdefault(taken.key, set()).add(ref)
-        if taken.custody is None or self.custody is None:
+        ref = message.ref
+        self._unanswered[ref] = message, ended
+        if message.key is not None:
+            self._gates.setdefault(message.key, set()).add(ref)
+        if message.custody is None or self.custody is None:
             self.notify(Notice(ref, ended.outcome, ended.retry_in_ms))
             return
-        left = max(ZERO, taken.ends_at - self.clock.now()) + self.custody.settings.patience
-        self.custody.wait(taken.custody, left, False, lambda ok: self.post(MayTell(ref)) if ok else None)
+        left = max(ZERO, message.ends_at - self.clock.now()) + self.custody.settings.patience
+        self.custody.wait(message.custody, left, False, lambda ok: self.post(MayTell(ref)) if ok else None)
 
     def _noticed(self, ref: str, records: list[Record]) -> None:
-        taken, _ = self._unanswered.pop(ref, (None, None))
-        if taken is None:
+        message, _ = self._unanswered.pop(ref, (None, None))
+        if message is None:
             return
-        records.append(kept_records.Noticed(ref))
-        self._open_gate(taken.key, ref)
+        records.append(kept_records.NoticeAnswered(ref))
+        self._open_gate(message.key, ref)
 
     def _open_gate(self, key: str | None, ref: str) -> None:
         """The next relay of a key need not wait for this message's notice any more."""
@@ -909,10 +909,10 @@
         """The message is over. It stays known while relays are out; an id that must not run again, longer."""
         self._open -= not owed.over
         owed.over = True
-        if not owed.out:
-            self._outstanding.pop(owed.taken.ref, None)
+        if not owed.active_relays:
+            self._outstanding.pop(owed.message.ref, None)
         if remember:
-            self._ended[owed.taken.ref] = now + REMEMBERED
+            self._ended[owed.message.ref] = now + REMEMBERED
         while self._ended:
             oldest = next(iter(self._ended))
             if self._ended[oldest] > now:
@@ -926,7 +926,7 @@
         elif isinstance(action, api.SetTimer):
             heapq.heappush(self._timers, (now + span(action.after_s), next(self._order), action.label))
         elif isinstance(action, api.CancelAttempt):
-            relay = self._outstanding[action.ref].out.get(action.attempt) if action.ref in self._outstanding else None
+            relay = self._outstanding[action.ref].active_relays.get(action.attempt) if action.ref in self._outstanding else None
             if relay is not None:
                 self.cancel(relay)
         elif isinstance(action, api.CloseIdle):
@@ -948,19 +948,19 @@
 
     def _send(self, action: api.Send, now: datetime) -> None:
         owed, host = self._outstanding[action.ref], self.hosts.by_number.get(action.endpoint)
-        ends_at = min(now + span(action.time_out_s), owed.taken.ends_at - END_MARGIN)
+        ends_at = min(now + span(action.time_out_s), owed.message.ends_at - END_MARGIN)
         relay = Relay(
-            owed.taken,
+            owed.message,
             owed.count,
             action.endpoint,
             host,
             now,
             ends_at,
-            repeatable=self._repeatable(owed.taken),
+            repeatable=self._repeatable(owed.message),
             stopping=self.stopped_at is not None,
         )
         owed.count += 1
-        owed.out[relay.number] = relay
+        owed.active_relays[relay.number] = relay
         self.log.counters.add("attempt sent", action.phase.value)
         if host is None or owed.unwritten:  # it left the list in this very round
             self.post(RelayEnded(relay, api.Outcome.NOT_SENT))
@@ -971,7 +971,7 @@
 
     def _launch(self, relay: Relay) -> None:
         """Have a relay made, or wait for its key."""
-        if relay.taken.key is not None and self._gates.get(relay.taken.key):
+        if relay.message.key is not None and self._gates.get(relay.message.key):
             self._gate(relay)
         else:
             self._leaving.append(relay)
@@ -982,7 +982,7 @@
         open_calls: dict[int, tuple[list[Relay], int]] = {}  # by host: the last one, and its bytes
         for relay in self._leaving:
             most = self.settings.kinds[relay.host.kind].batch
-            size = relay.taken.body_size() + bulk.line_room(relay.taken.ref, relay.taken.idempotency_key)
+            size = relay.message.body_size() + bulk.line_room(relay.message.ref, relay.message.idempotency_key)
             line, bytes_before = open_calls.get(relay.host.number, ([], 0))
             if not line or len(line) >= most or bytes_before + size > BULK_MOST:
                 line, bytes_before = [], 0
@@ -994,5 +994,5 @@
 
     def _gate(self, relay: Relay) -> None:
         """Have a relay wait until the notice of the message before it, of the same key, is answered."""
-        self._gated.setdefault(relay.taken.key, []).append(relay)
+        self._gated.setdefault(relay.message.key, []).append(relay)
         heapq.heappush(self._timers, (relay.ends_at, next(self._order), relay))
--- a/willownotch/net/owner_replication.py
+++ b/willownotch/net/owner_replication.py
@@ -12,7 +12,7 @@
 
 from willownotch import interface as api
 from willownotch.journal import records as kept_records
-from willownotch.journal.records import Ended, Entry, Record, Taken
+from willownotch.journal.records import MessageEnded, Entry, Record, AcceptedMessage
 from willownotch.net.events import Answer, Copied, Verdict
 from willownotch.net.journal import JournalFullError
 from willownotch.net.endpoint_side import RelayEnded
@@ -32,10 +32,10 @@
 
     def _await_copies(self, owed: Owed) -> None:
         """Its client is told, and its relays begin, once others hold the message."""
-        ref, pending, owed.copying = owed.taken.ref, owed.pending, True
-        since = self.clock.now() - (owed.taken.at or self.clock.now())
+        ref, pending, owed.copying = owed.message.ref, owed.pending, True
+        since = self.clock.now() - (owed.message.at or self.clock.now())
         patience = max(COPY_LEAST, min(self.custody.settings.patience, COPY_MOST - since))
-        self.custody.wait(owed.taken.custody, patience, True, lambda ok: self.post(Copied(ref, pending, ok)))
+        self.custody.wait(owed.message.custody, patience, True, lambda ok: self.post(Copied(ref, pending, ok)))
 
     def _copied(self, item: Copied, now: datetime, events: list[api.Event], records: list[Record]) -> None:
         owed = self._outstanding.get(item.ref)
@@ -51,7 +51,7 @@
                 self.post(RelayEnded(relay, api.Outcome.NOT_SENT, now - relay.begun_at))
             if not owed.over:
                 owed.pending.settle(Answer(Verdict.REJECTED, BACK_OFF))
-                records.append(Ended(item.ref, "withdrawn"))
+                records.append(MessageEnded(item.ref, "withdrawn"))
                 events.append(api.Withdrawn(item.ref))
                 self._forget(owed, now)
         owed.pending = None
@@ -60,18 +60,18 @@
         return {
             ref: entry
             for ref, entry in self.journal.live.items()
-            if entry.taken.custody is not None and entry.taken.custody.book == book
+            if entry.message.custody is not None and entry.message.custody.book == book
         }
 
     def _take_over(self, won: Won, now: datetime, events: list[api.Event]) -> None:
         """Go on with what another sender, or a former process of this one, held."""
         local = self._in_book(won.book)
-        found = {entry.taken.ref: entry for _, entry in won.entries}
+        found = {entry.message.ref: entry for _, entry in won.entries}
         # Of what this folder alone has, enough copies would know if it were still owed.
-        kept = {ref: e for ref, e in local.items() if ref not in found and not won.sure(e.taken.custody.acks)}
+        kept = {ref: e for ref, e in local.items() if ref not in found and not won.sure(e.message.custody.acks)}
         known = [ref for ref in found if ref in self._outstanding or ref in self._ended or ref in self._unanswered]
         taken = [entry for ref, entry in found.items() if ref not in known]
-        unsure = [e for e in taken if e.ended is None and not won.sure(e.taken.custody.acks)]
+        unsure = [e for e in taken if e.ended is None and not won.sure(e.message.custody.acks)]
         orphans = [
             ref
             for ref in won.refs
@@ -83,7 +83,7 @@
         orphans = [] if won.sure(1) else orphans
         try:
             adopted = [
-                *(Ended(ref, "withdrawn") for ref in local),
+                *(MessageEnded(ref, "withdrawn") for ref in local),
                 *(record for entry in taken for record in entry.records()),
             ]
             if adopted:
@@ -93,19 +93,19 @@
             self.custody.declined(won.book)
             return
         self.custody.adopting(won)
-        self.custody.adopted(won, {entry.taken.ref: entry.taken.ends_at for entry in taken})
+        self.custody.adopted(won, {entry.message.ref: entry.message.ends_at for entry in taken})
         self.custody.ended(won.book, known)
         ends = {ref: now + timedelta(milliseconds=won.refs[ref]) for ref in orphans}
         more: list[Record] = [r for entry in kept.values() for r in entry.records()]
-        more += [kept_records.Opened(e.taken.ref, e.count(), now, UNKNOWN_HOST) for e in unsure]
+        more += [kept_records.RelayStarted(e.message.ref, e.count(), now, UNKNOWN_HOST) for e in unsure]
         more += [
-            Taken(ref, 0, "", "", at, custody=kept_records.Custody(won.book, 1)) for ref, at in ends.items()
+            AcceptedMessage(ref, 0, "", "", at, custody=kept_records.Custody(won.book, 1)) for ref, at in ends.items()
         ]
-        more += [Ended(ref, "given_up") for ref in orphans]
+        more += [MessageEnded(ref, "given_up") for ref in orphans]
         self._write(more)
         entries = [
             self.journal.live[ref]
-            for ref in [*(e.taken.ref for e in taken), *kept, *orphans]
+            for ref in [*(e.message.ref for e in taken), *kept, *orphans]
             if ref in self.journal.live
         ]
         open_ones = [entry for entry in entries if self._still_owed(entry)]
@@ -127,7 +127,7 @@
     def _lose_book(self, lost: Lost, now: datetime, events: list[api.Event]) -> None:
         """Drop what another sender has now: it is neither sent nor ended here."""
         local = self._in_book(lost.book)
-        self._recovered = self._recovered and [e for e in self._recovered if e.taken.ref not in local]
+        self._recovered = self._recovered and [e for e in self._recovered if e.message.ref not in local]
         self._unwritten = [r for r in self._unwritten if r.ref not in local]
         notices = 0
         for ref, entry in local.items():
@@ -142,9 +142,9 @@
                 self._forget(owed, now)
             if self._unanswered.pop(ref, None) is not None:
                 notices += 1
-                self._open_gate(entry.taken.key, ref)
+                self._open_gate(entry.message.key, ref)
         if local:
-            self._write([Ended(ref, "withdrawn") for ref in local])
+            self._write([MessageEnded(ref, "withdrawn") for ref in local])
             self.log.say(
                 "custody",
                 f"{lost.book} is {lost.owner}'s from term {lost.term} on: "
@@ -153,8 +153,8 @@
 
     def _expire(self, expired: Expired, now: datetime) -> None:
         """Tell the ends that nobody else will: past a deadline no sender delivers any more."""
-        fresh = [entry.taken for entry in expired.entries] + [
-            entry.taken if (entry := self.journal.live.get(ref)) is not None else Taken(ref, 0, "", "", now)
+        fresh = [entry.message for entry in expired.entries] + [
+            entry.message if (entry := self.journal.live.get(ref)) is not None else AcceptedMessage(ref, 0, "", "", now)
             for ref in expired.refs
         ]
         told = 0
@@ -162,8 +162,8 @@
             ref, entry = taken.ref, self.journal.live.get(taken.ref)
             if ref in self._outstanding or ref in self._unanswered or ref in self._ended:
                 continue
-            bare = msgspec.structs.replace(taken, body=b"", place=None, apart=None, custody=None)
-            ended = entry.ended if entry is not None and entry.ended is not None else Ended(ref, "given_up")
+            bare = msgspec.structs.replace(taken, body=b"", place=None, legacy_file=None, custody=None)
+            ended = entry.ended if entry is not None and entry.ended is not None else MessageEnded(ref, "given_up")
             self._write([bare, ended] if entry is None else [ended] if entry.ended is None else [])
             self._ended[ref] = now + REMEMBERED
             self._owe_notice(bare, ended)
--- a/willownotch/net/south.py
+++ b/willownotch/net/south.py
@@ -13,9 +13,9 @@
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING
 
-from willownotch.bodies.store import Bodies, LostError
+from willownotch.bodies.store import Bodies, BodyLostError
 from willownotch.interface import Idempotency, Outcome
-from willownotch.journal.records import Opened, Taken
+from willownotch.journal.records import RelayStarted, AcceptedMessage
 from willownotch.net import bulk, http, sockets
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
@@ -43,14 +43,14 @@
 class Relay:
     """One attempt, as the owner hands it out."""
 
-    taken: Taken
+    message: AcceptedMessage
     number: int
     endpoint: int  # the module's number for the host
     host: Host | None  # as the list had it then; never None for a relay that is handed to a worker
     begun_at: datetime
     ends_at: datetime  # when waiting stops
     cancelled: bool = False
-    opened: bool = False  # its first byte may have been written
+    started: bool = False  # its first byte may have been written
     sock: socket.socket | None = None
     lock: threading.Lock = field(default_factory=threading.Lock)
     remote: bool = False  # made by the process before this one, which tells its end
@@ -67,7 +67,7 @@
 
     def next_at(self) -> datetime:
         """When there is something to do about it while its call goes on."""
-        return self.ends_at if self.waited_for() else self.taken.ends_at - END_MARGIN
+        return self.ends_at if self.waited_for() else self.message.ends_at - END_MARGIN
 
 
 @dataclass(slots=True)
@@ -180,7 +180,7 @@
         with self._lock:
             self._busy += 1
             for relay in relays:
-                self._out[relay.taken.ref, relay.number] = relay
+                self._out[relay.message.ref, relay.number] = relay
             fresh = self._busy > self._workers
             self._workers += fresh
         self._queue.put(list(relays))
@@ -230,7 +230,7 @@
                 if self._closing:  # stays owed in the journal: an outcome would only have it sent again
                     self._busy -= 1
                     for relay in relays:
-                        self._out.pop((relay.taken.ref, relay.number), None)
+                        self._out.pop((relay.message.ref, relay.number), None)
                     self._parked.append(relays)
                     continue
             for ended in [self._relay(*relays)] if len(relays) == 1 else self._together(relays):
@@ -246,7 +246,7 @@
             if relay.told:
                 return
             relay.told = True
-            self._out.pop((relay.taken.ref, relay.number), None)
+            self._out.pop((relay.message.ref, relay.number), None)
         ended.took = self.clock.now() - relay.begun_at
         self.log.counters.add("retry ended" if relay.number else "attempt ended", ended.outcome.name.lower())
         if ended.wait:
@@ -313,8 +313,8 @@
     def _body(self, relay: Relay) -> bytes | RelayEnded:
         """What is to be sent, or the end of a relay whose body is not to be had."""
         try:
-            return self.bodies.read(relay.taken)
-        except LostError as fault:
+            return self.bodies.read(relay.message)
+        except BodyLostError as fault:
             self.log.say("bodies", f"{fault}: a relay was not made")
             return RelayEnded(relay, Outcome.NOT_SENT, lost=True)
         except OSError as fault:
@@ -350,7 +350,7 @@
         """Put on record that they may run, before the first byte: a kill right after it finds it."""
         now, first = self.clock.now(), relays[0]
         try:
-            self.journal.append([Opened(r.taken.ref, r.number, now, r.host.name) for r in relays])
+            self.journal.append([RelayStarted(r.message.ref, r.number, now, r.host.name) for r in relays])
         except JournalGivenError:  # it was never begun: the process that has it now may do so at once
             self._drop(first, sock)
             return False
@@ -364,12 +364,12 @@
             self._rest(first)
             return False
         for relay in relays:
-            relay.opened = True
+            relay.started = True
         return True
 
     def _copied(self, relays: tuple[Relay, ...]) -> bool:
         """Whether others hold these marks and nobody else may act on the messages: else none is begun."""
-        marks = [relay.taken.custody for relay in relays if relay.taken.custody is not None]
+        marks = [relay.message.custody for relay in relays if relay.message.custody is not None]
         left = min(relay.ends_at for relay in relays) - self.clock.now()
         return not marks or self.custody.cleared(marks, max(ZERO, min(COPY_TIME, left)))
 
@@ -426,7 +426,7 @@
         first, whole = relays[0], False
         parser = http.Parser(answer=True, optional=(b"server-load",))
         body = bulk.write_body(
-            (relay.taken.ref, relay.taken.idempotency_key, data)
+            (relay.message.ref, relay.message.idempotency_key, data)
             for relay, data in zip(relays, bodies, strict=True)
         )
         bodies.clear()
@@ -464,9 +464,9 @@
             self._drop(first, sock)
         ends = [self._in_time(read_outcome(relay, head.status, head.headers)) for relay in relays]
         if head.status == 200:
-            said = bulk.read_answer(answer, [relay.taken.ref for relay in relays])
+            said = bulk.read_answer(answer, [relay.message.ref for relay in relays])
             for n, ended in enumerate(ends):
-                outcome, over = said[ended.relay.taken.ref]
+                outcome, over = said[ended.relay.message.ref]
                 wait = read_wait(head.headers.get("retry-after"))
                 ends[n] = self._in_time(replace(ended, outcome=outcome, over=over, wait=wait))
         return ends
@@ -505,12 +505,12 @@
 
         The module asked as it decided; a connection that comes up late can outlast a short window.
         """
-        rules, entry = relay.taken.rules, self.journal.live.get(relay.taken.ref)
+        rules, entry = relay.message.rules, self.journal.live.get(relay.message.ref)
         if rules is None or rules.idempotency is not Idempotency.KEYED or entry is None:
             return False
         others = [
             opened.at
-            for number, opened in list(entry.opened.items())
+            for number, opened in list(entry.started.items())
             if number != relay.number and entry.may_have_run(number)
         ]
         return bool(others) and now > min(others) + timedelta(seconds=rules.dedup_window_s) - WINDOW_MARGIN
@@ -536,7 +536,7 @@
                     raise
                 self.log.say(
                     "connect",
-                    f"no connection to {relay.host.name} for {relay.taken.ref} "
+                    f"no connection to {relay.host.name} for {relay.message.ref} "
                     f"attempt {relay.number}: {fault}",
                 )
                 if self.clock.now() >= min(ends, relay.ends_at):
@@ -628,13 +628,13 @@
 
     def _exchange(self, relay: Relay, sock: socket.socket, body: list[bytes]) -> RelayEnded:
         """Write the call and read its answer. A break before the last byte is written proves it never ran."""
-        taken, whole, begun = relay.taken, False, False
+        message, whole, begun = relay.message, False, False
         parser = http.Parser(answer=True, optional=(b"server-load",))
         try:
             left = relay.ends_at - self.clock.now()
-            headers = [("Request-Id", taken.ref), ("Request-Timeout-Ms", str(max(1, millis(left))))]
-            if taken.idempotency_key is not None:
-                headers.append(("Idempotency-Key", taken.idempotency_key))
+            headers = [("Request-Id", message.ref), ("Request-Timeout-Ms", str(max(1, millis(left))))]
+            if message.idempotency_key is not None:
+                headers.append(("Idempotency-Key", message.idempotency_key))
             host, port = relay.host.address
             data = http.write_request("POST", "/inbox", f"{host}:{port}", headers, body.pop())
             sock.settimeout(seconds(max(LEAST_TIME, left)))
@@ -670,7 +670,7 @@
         A process short of CPU wakes late and finds an answer that was not there when its time ran out. Taken
         for a delivery, it would leave the message without an end; a notice for one that is over does no harm.
         """
-        late = self.clock.now() >= ended.relay.taken.ends_at - END_MARGIN
+        late = self.clock.now() >= ended.relay.message.ends_at - END_MARGIN
         if late and ended.outcome is Outcome.DELIVERED:
             return RelayEnded(ended.relay, Outcome.TIMED_OUT)
         return ended
@@ -692,7 +692,7 @@
         if isinstance(fault, http.BadMessageError) or (isinstance(fault, TimeoutError) and parser.begun):
             self.log.say(
                 "spoilt",
-                f"the answer of {relay.host.name} on {relay.taken.ref} cannot be used: "
+                f"the answer of {relay.host.name} on {relay.message.ref} cannot be used: "
                 f"{fault or type(fault).__name__}",
             )
             return RelayEnded(relay, Outcome.ERROR, unreadable=True)
--- a/willownotch/replica/copies.py
+++ b/willownotch/replica/copies.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from willownotch.journal.records import Entry, Opened, Taken, apply, frame, read_frames
+from willownotch.journal.records import Entry, RelayStarted, AcceptedMessage, apply, frame, read_frames
 from willownotch.replica.wire import START, About, Append, Fill, Position
 
 RANGES = 64
@@ -35,11 +35,11 @@
     found = [0] * RANGES
     for order, entry in entries:
         bare = msgspec.structs.replace(
-            entry.taken, body=b"", apart=None, checksum=0, place=None, unkept=False
+            entry.message, body=b"", legacy_file=None, checksum=0, place=None, unkept=False
         )
-        records = sorted(frame(r) for r in entry.records() if not isinstance(r, Taken))
-        data = b"".join([b"%d %d " % (order, entry.taken.body_size()), frame(bare), *records])
-        found[range_of(entry.taken.ref)] ^= xxh64_intdigest(data)
+        records = sorted(frame(r) for r in entry.records() if not isinstance(r, AcceptedMessage))
+        data = b"".join([b"%d %d " % (order, entry.message.body_size()), frame(bare), *records])
+        found[range_of(entry.message.ref)] ^= xxh64_intdigest(data)
     return tuple(found)
 
 
@@ -72,10 +72,10 @@
 
 def shifted(entry: Entry, by: timedelta) -> Entry:
     """The same, in the times of another clock."""
-    taken = entry.taken
-    taken = msgspec.structs.replace(taken, ends_at=taken.ends_at + by, at=taken.at and taken.at + by)
-    opened = {n: Opened(o.ref, o.number, o.at + by, o.host) for n, o in entry.opened.items()}
-    return Entry(taken, entry.own_size, opened, entry.closed, entry.counted, entry.ended)
+    message = entry.message
+    message = msgspec.structs.replace(message, ends_at=message.ends_at + by, at=message.at and message.at + by)
+    opened = {n: RelayStarted(o.ref, o.number, o.at + by, o.host) for n, o in entry.started.items()}
+    return Entry(message, entry.message_record_size, opened, entry.failed, entry.counted_relays, entry.ended)
 
 
 @dataclass(slots=True)
@@ -142,7 +142,7 @@
 
     def _apply(self, record) -> None:
         self.size += apply(self.live, record)
-        if isinstance(record, Taken):
+        if isinstance(record, AcceptedMessage):
             self.order[record.ref] = self.position[1]
         elif record.ref not in self.live:
             self.order.pop(record.ref, None)
@@ -172,5 +172,5 @@
         for order, data in entries:
             entry = unpack(data)
             if entry is not None:
-                self.live[entry.taken.ref], self.order[entry.taken.ref] = entry, order
+                self.live[entry.message.ref], self.order[entry.message.ref] = entry, order
         self.size = sum(entry.size() for entry in self.live.values())
--- a/willownotch/replica/core.py
+++ b/willownotch/replica/core.py
@@ -635,7 +635,7 @@
         wanted = [
             (order, copies.pack(entry))
             for order, entry in entries
-            if ranges >> copies.range_of(entry.taken.ref) & 1
+            if ranges >> copies.range_of(entry.message.ref) & 1
         ]
         pieces = list(copies.parts(wanted))
         follower.acked, follower.told, follower.fill_at = None, behind.position, last
@@ -913,10 +913,10 @@
         over = [
             entry
             for ref, entry in copy.live.items()
-            if ref not in copy.told and entry.taken.ends_at + by <= self._wall
+            if ref not in copy.told and entry.message.ends_at + by <= self._wall
         ]
         if over:
-            copy.told.update(entry.taken.ref for entry in over)
+            copy.told.update(entry.message.ref for entry in over)
             self._act(Expired(copy.book, tuple(copies.shifted(entry, by) for entry in over), ()))
 
     def _expire_refs(self, book: str, index: Index) -> None:
@@ -929,7 +929,7 @@
     def _left(self, copy: Copy) -> float:
         """Seconds until the last deadline in a copy, by this clock."""
         by = copy.ahead or copies.NO_TIME
-        ends = max((entry.taken.ends_at for entry in copy.live.values()), default=None)
+        ends = max((entry.message.ends_at for entry in copy.live.values()), default=None)
         return (ends + by - self._wall).total_seconds() if ends is not None else -KEEP_AFTER - 1.0
 
     def _ask_silent(self, copy: Copy) -> None:
@@ -1011,7 +1011,7 @@
                     for order, data in best.got[part]
                     if (entry := copies.unpack(data)) is not None
                 ]
-        known = {entry.taken.ref for _, entry in entries}
+        known = {entry.message.ref for _, entry in entries}
         owned.stage, owned.answers = Stage.ADOPTING, {}
         before = (
             self.copies[owned.book].about.owner
--- a/willownotch/replica/service.py
+++ b/willownotch/replica/service.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from willownotch.bodies.store import LostError
+from willownotch.bodies.store import BodyLostError
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
 from willownotch.journal.records import Custody as Mark
-from willownotch.journal.records import Ended, Entry, Noticed, Record, Taken, frame
+from willownotch.journal.records import MessageEnded, Entry, NoticeAnswered, Record, AcceptedMessage, frame
 from willownotch.links.edge import Edge, Kind
 from willownotch.replica import core as cores
 from willownotch.replica import wire
@@ -136,7 +136,7 @@
             self._snapshot,
             int(settings.room * room / 3),
         )
-        self.read_body: Callable[[Taken], bytes] = lambda taken: taken.body
+        self.read_body: Callable[[AcceptedMessage], bytes] = lambda message: message.body
         self.entries: Callable[[Callable[[], int]], tuple[int, list[Entry]]] = lambda number: (number(), [])
         self.there: Callable[[], dict[str, tuple[int, tuple[str, int]]]] = dict
         self.won: Callable[[cores.Won], None] = lambda won: None
@@ -221,7 +221,7 @@
                     continue  # it is another's by now
                 found.setdefault(book, []).append(record)
                 self._last[book] += 1
-                if isinstance(record, Taken):
+                if isinstance(record, AcceptedMessage):
                     self._order.setdefault(book, {})[record.ref] = self._last[book]
                 elif over(record):
                     self._order.get(book, {}).pop(record.ref, None)
@@ -238,7 +238,7 @@
         """From here on what the journal writes of this book follows on what was won."""
         with self._lock:
             self._last[won.book] = won.last
-            self._order[won.book] = {entry.taken.ref: order for order, entry in won.entries}
+            self._order[won.book] = {entry.message.ref: order for order, entry in won.entries}
 
     def adopted(self, won: cores.Won, refs: dict[str, datetime]) -> None:
         """All of it is in the journal."""
@@ -250,7 +250,7 @@
 
     def ended(self, book: str, refs: list[str]) -> None:
         """These ids of a book need nobody any more; the journal has no records of them."""
-        self.wrote([(book, Ended(ref, "withdrawn")) for ref in refs])
+        self.wrote([(book, MessageEnded(ref, "withdrawn")) for ref in refs])
 
     def over(self) -> list[str]:
         """Books that this sender was a witness of and that nobody will ask for again; any thread."""
@@ -292,9 +292,9 @@
         self.store.open()
         owed: dict[str, dict[str, float]] = {}
         for ref, entry in live.items():
-            mark = entry.taken.custody
+            mark = entry.message.custody
             if mark is not None and mark.book in self.store.books:
-                left = (entry.taken.ends_at - self.now()).total_seconds()
+                left = (entry.message.ends_at - self.now()).total_seconds()
                 owed.setdefault(mark.book, {})[ref] = left
         self.core.restore(self.store.terms.values(), self.store.copies.values(), self.store.books, owed)
 
@@ -337,9 +337,9 @@
     def _feed(self, item) -> list[cores.Action]:
         now = time.monotonic()
         if isinstance(item, Wrote):
-            opened = {r.ref: r.ends_at for r in item.records if isinstance(r, Taken)}
+            opened = {r.ref: r.ends_at for r in item.records if isinstance(r, AcceptedMessage)}
             ended = [r.ref for r in item.records if over(r)]
-            frames = tuple(frame(self._whole(r) if isinstance(r, Taken) else r) for r in item.records)
+            frames = tuple(frame(self._whole(r) if isinstance(r, AcceptedMessage) else r) for r in item.records)
             return self.core.wrote(now, item.book, frames, opened, ended)
         if isinstance(item, threading.Event):
             return self.core.release(now)
@@ -347,15 +347,15 @@
             return item()
         return [] if item is None else self.core.receive(now, self.now(), item)
 
-    def _whole(self, taken: Taken) -> Taken:
+    def _whole(self, message: AcceptedMessage) -> AcceptedMessage:
         """A message with its body, wherever that stands; without, if there is none any more."""
-        if taken.place is None and taken.apart is None:
-            return taken
+        if message.place is None and message.legacy_file is None:
+            return message
         try:
-            body = self.read_body(taken)
-        except (LostError, OSError):
-            return msgspec.structs.replace(taken, place=None, apart=None, unkept=True)
-        return msgspec.structs.replace(taken, body=body, place=None, apart=None)
+            body = self.read_body(message)
+        except (BodyLostError, OSError):
+            return msgspec.structs.replace(message, place=None, legacy_file=None, unkept=True)
+        return msgspec.structs.replace(message, body=body, place=None, legacy_file=None)
 
     def _look(self, now: float) -> list[cores.Action]:
         there = self.there()
@@ -453,18 +453,18 @@
         last, found = self.entries(number)
         entries = []
         for entry in found:
-            mark = entry.taken.custody
-            if mark is not None and mark.book == book and entry.taken.ref in orders:
+            mark = entry.message.custody
+            if mark is not None and mark.book == book and entry.message.ref in orders:
                 if entry.ended is None:
                     entry = Entry(
-                        self._whole(entry.taken),
-                        entry.own_size,
-                        dict(entry.opened),
-                        dict(entry.closed),
-                        entry.counted,
+                        self._whole(entry.message),
+                        entry.message_record_size,
+                        dict(entry.started),
+                        dict(entry.failed),
+                        entry.counted_relays,
                         entry.ended,
                     )
-                entries.append((orders[entry.taken.ref], entry))
+                entries.append((orders[entry.message.ref], entry))
         return last, sorted(entries, key=lambda pair: pair[0])
 
     def stop(self) -> None:
@@ -529,4 +529,4 @@
 
 def over(record: Record) -> bool:
     """Whether nothing is owed of a message behind this record."""
-    return isinstance(record, Noticed) or (isinstance(record, Ended) and not record.owes_notice())
+    return isinstance(record, NoticeAnswered) or (isinstance(record, MessageEnded) and not record.owes_notice())
--- a/willownotch/replica/simulated.py
+++ b/willownotch/replica/simulated.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from willownotch.journal.records import Closed, Custody, Ended, Entry, Opened, Record, Taken, apply, frame
+from willownotch.journal.records import RelayFailed, Custody, MessageEnded, Entry, RelayStarted, Record, AcceptedMessage, apply, frame
 from willownotch.replica import core as cores
 from willownotch.replica import wire
 from willownotch.replica.copies import Copy
@@ -64,22 +64,22 @@
         self.lost: list[str] = []
         owed: dict[str, dict[str, float]] = {}
         for ref, entry in disk.live.items():
-            left = (entry.taken.ends_at - fleet.wall(name)).total_seconds()
-            owed.setdefault(entry.taken.custody.book, {})[ref] = left
+            left = (entry.message.ends_at - fleet.wall(name)).total_seconds()
+            owed.setdefault(entry.message.custody.book, {})[ref] = left
         kept = [read_copy(data) for data in disk.copies.values()]
         self.core.restore(disk.terms.values(), kept, disk.books, owed)
 
     def mine(self, ref: str) -> bool:
         """Whether it may act on a message now."""
         entry = self.disk.live.get(ref)
-        return entry is not None and self.core.leased(entry.taken.custody.book, self.fleet.now)
+        return entry is not None and self.core.leased(entry.message.custody.book, self.fleet.now)
 
     def snapshot(self, book: str) -> tuple[int, list[tuple[int, Entry]]]:
         """A book as the journal has it."""
         found = [
             (self.disk.order[ref], entry)
             for ref, entry in self.disk.live.items()
-            if entry.taken.custody.book == book
+            if entry.message.custody.book == book
         ]
         return self.last.get(book, 0), sorted(found, key=lambda pair: pair[0])
 
@@ -88,11 +88,11 @@
         opened, over = {}, []
         for record in records:
             self.last[book] = self.last.get(book, 0) + 1
-            if isinstance(record, Taken):
+            if isinstance(record, AcceptedMessage):
                 opened[record.ref] = record.ends_at
                 self.disk.order[record.ref] = self.last[book]
             apply(self.disk.live, record)
-            if isinstance(record, Ended) and record.ref not in self.disk.live:
+            if isinstance(record, MessageEnded) and record.ref not in self.disk.live:
                 self.disk.order.pop(record.ref, None)
                 over.append(record.ref)
         self.carry(self.core.wrote(self.fleet.now, book, tuple(map(frame, records)), opened, over))
@@ -103,7 +103,7 @@
         book = self.core.usable(wanted, self.fleet.now)
         if book is None or ref in self.disk.live:
             return False
-        taken = Taken(
+        taken = AcceptedMessage(
             ref,
             7,
             "fee",
@@ -123,16 +123,16 @@
             return
         if any(entry.may_have_run(n) for n in range(entry.count())):
             return  # of a class that must not run twice
-        number, book = entry.count(), entry.taken.custody.book
-        at = self.write(book, [Opened(ref, number, self.fleet.wall(self.name), "h")])
+        number, book = entry.count(), entry.message.custody.book
+        at = self.write(book, [RelayStarted(ref, number, self.fleet.wall(self.name), "h")])
         self.tries.append(Try(ref, number, at, book))
 
     def give_up(self, ref: str) -> None:
         """End a message by a notice, told once the end is copied."""
         entry = self.disk.live.get(ref)
         if entry is not None and entry.ended is None and self.mine(ref) and ref not in self.waiting:
-            book = entry.taken.custody.book
-            self.ends[ref] = book, self.write(book, [Ended(ref, "given_up")])
+            book = entry.message.custody.book
+            self.ends[ref] = book, self.write(book, [MessageEnded(ref, "given_up")])
 
     def settle(self) -> None:
         """What waited for copies and has them."""
@@ -142,7 +142,7 @@
             if (
                 entry is not None
                 and self.core.leased(book, now)
-                and (self.core.reached(book, entry.taken.custody.acks) >= at)
+                and (self.core.reached(book, entry.message.custody.acks) >= at)
             ):
                 self.fleet.promised[ref] = self.name
                 del self.waiting[ref]
@@ -151,20 +151,20 @@
             if entry is None:
                 self.tries.remove(one)
             elif self.core.leased(one.book, now) and (
-                self.core.reached(one.book, entry.taken.custody.acks) >= one.at
+                self.core.reached(one.book, entry.message.custody.acks) >= one.at
             ):
                 self.tries.remove(one)
                 self.fleet.calls.setdefault(one.ref, []).append((self.name, now))
-                self.write(one.book, [Closed(one.ref, one.number, True)])
-                self.write(one.book, [Ended(one.ref, "delivered")])
+                self.write(one.book, [RelayFailed(one.ref, one.number, True)])
+                self.write(one.book, [MessageEnded(one.ref, "delivered")])
         for ref, (book, at) in list(self.ends.items()):
             entry = self.disk.live.get(ref)
-            wanted = entry.taken.custody.acks if entry is not None else 1
+            wanted = entry.message.custody.acks if entry is not None else 1
             if self.core.leased(book, now) and self.core.reached(book, wanted) >= at:
                 del self.ends[ref]
                 self.fleet.told.setdefault(ref, []).append(self.name)
                 if entry is not None:
-                    self.write(book, [Ended(ref, "withdrawn")])  # its notice was answered
+                    self.write(book, [MessageEnded(ref, "withdrawn")])  # its notice was answered
 
     def carry(self, actions: list[cores.Action]) -> None:
         """Carry actions out, in their order."""
@@ -188,11 +188,11 @@
                 self.lost.append(action.book)
                 self._forget(action.book)
             elif isinstance(action, cores.Expired):
-                for ref in [*(e.taken.ref for e in action.entries), *action.refs]:
+                for ref in [*(e.message.ref for e in action.entries), *action.refs]:
                     self.fleet.expired.setdefault(ref, []).append(self.name)
 
     def _forget(self, book: str) -> None:
-        for ref in [ref for ref, e in self.disk.live.items() if e.taken.custody.book == book]:
+        for ref in [ref for ref, e in self.disk.live.items() if e.message.custody.book == book]:
             del self.disk.live[ref]
             self.disk.order.pop(ref, None)
             self.waiting.pop(ref, None)
@@ -204,14 +204,14 @@
         self._forget(won.book)
         self.last[won.book] = won.last
         for order, entry in won.entries:
-            ref = entry.taken.ref
-            if not won.sure(entry.taken.custody.acks) and entry.ended is None:
-                entry.opened[entry.count()] = Opened(ref, entry.count(), self.fleet.wall(self.name), "?")
+            ref = entry.message.ref
+            if not won.sure(entry.message.custody.acks) and entry.ended is None:
+                entry.started[entry.count()] = RelayStarted(ref, entry.count(), self.fleet.wall(self.name), "?")
             self.disk.live[ref], self.disk.order[ref] = entry, order
             if entry.ended is not None:
                 self.ends[ref] = won.book, won.last
-        self.fleet.adopted[won.book] = (won.term, [e.taken.ref for _, e in won.entries])
-        refs = {e.taken.ref: e.taken.ends_at for _, e in won.entries}
+        self.fleet.adopted[won.book] = (won.term, [e.message.ref for _, e in won.entries])
+        refs = {e.message.ref: e.message.ends_at for _, e in won.entries}
         self.carry(self.core.adopted(self.fleet.now, won.book, refs))
 
 
