--- a/willownotch/replica/store.py
+++ b/willownotch/replica/store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from willownotch.files.layer import Files
-from willownotch.files.space import Space, blocks
+from willownotch.files.space import Space, round_to_blocks
 from willownotch.journal.records import FRAME
 from willownotch.replica import copies, core
 from willownotch.replica.copies import Copy
@@ -118,7 +118,7 @@
             self.say(f"{lost} bytes of the custody file are torn or damaged and were passed over")
         for record in records:
             self._replay(record)
-        self._claimed, self.size = blocks(len(data)), len(data)
+        self._claimed, self.size = round_to_blocks(len(data)), len(data)
         self.space.settle(0, self._claimed)
         self._rewrite()
 
@@ -191,7 +191,7 @@
 
     def _claim(self, size: int) -> bool:
         """Have so many bytes for the file; what it has already counts."""
-        more = blocks(size) - self._claimed
+        more = round_to_blocks(size) - self._claimed
         if more > 0 and not self.space.claim(more):
             return False
         if more > 0:
@@ -204,7 +204,7 @@
         records += [BookKept(book, about, term) for book, (about, term) in self.books.items()]
         records += [self._whole(copy) for copy in self.copies.values()]
         data = b"".join(map(frame, records))
-        grown = blocks(len(data))
+        grown = round_to_blocks(len(data))
         if not self.space.claim(grown):
             raise OSError("no room to write it anew")
         new = self.folder / NEW_NAME
--- a/willownotch/usage/book.py
+++ b/willownotch/usage/book.py
@@ -23,7 +23,7 @@
 from xxhash import xxh3_64_intdigest
 
 from willownotch.files.layer import Files
-from willownotch.files.space import Space, blocks
+from willownotch.files.space import Space, round_to_blocks
 from willownotch.usage.core import Life
 from willownotch.usage.settled import Settled, digest_of
 from willownotch.usage.tally import Tally
@@ -139,7 +139,7 @@
 
     def _records(self, name: str) -> list[Record]:
         data = self.files.read_whole(self.folder / name)
-        self.space.settle(0, blocks(len(data)))
+        self.space.settle(0, round_to_blocks(len(data)))
         records, rest = frames(data)
         if rest:
             self.say(f"{name}: the last {rest} bytes cannot be read")
@@ -194,7 +194,7 @@
                 self._break(f"{fault}")
 
     def _append(self, data: bytes) -> None:
-        grown = blocks(self._size + len(data)) - blocks(self._size)
+        grown = round_to_blocks(self._size + len(data)) - round_to_blocks(self._size)
         if grown and not self.space.claim(grown):
             raise OSError("the folder has no room for them")
         try:
@@ -248,17 +248,17 @@
             with suppress(OSError):
                 self.files.remove(new)
             return False
-        self.space.freed(blocks(self._base_size))
+        self.space.freed(round_to_blocks(self._base_size))
         self._base_size = len(data)
         for name in self.files.names(self.folder):
             if name.startswith("log.") and name[4:].isdigit() and int(name[4:]) <= old_number:
                 size = self.files.size(self.folder / name)
                 self.files.remove(self.folder / name)
-                self.space.freed(blocks(size))
+                self.space.freed(round_to_blocks(size))
         return True
 
     def _write_base(self, path: Path, data: bytes) -> None:
-        size = blocks(len(data))
+        size = round_to_blocks(len(data))
         if not self.space.claim(size):
             raise OSError("the folder has no room for them")
         grown = 0
