--- a/benchmarks/capacity/control_socket.py
+++ b/benchmarks/capacity/control_socket.py
@@ -24,7 +24,7 @@
 from willownotch.channel.server import Server
 from willownotch.peers.edge import PeersView, PeerView
 from willownotch.shared.judgements import Row
-from willownotch.shared.service import Shared
+from willownotch.shared.service import SharedState
 from willownotch.shared.settings import SharedSettings
 from willownotch.settings.types import Flag
 
@@ -48,7 +48,7 @@
 def shared(number: int):
     """An answerer with so many rows of endpoints, each endpoint by two sources."""
     settings = SharedSettings(judgements=Flag.YES, rows=10**6)
-    made = Shared(settings, "sender-00000", 1, MEMBERS, 0.0, Random(5))
+    made = SharedState(settings, "sender-00000", 1, MEMBERS, 0.0, Random(5))
     made.judgements.merge(
         0.0,
         [
@@ -65,7 +65,7 @@
     """CPU s of the server's thread for an answer, its bytes, and the peak of memory."""
     path = Path(tempfile.mkdtemp()) / "socket"
     server = Server(path)
-    server.answers["it"] = answerer
+    server.handlers["it"] = answerer
     thread = threading.Thread(target=server.run, daemon=True)
     thread.start()
     clock, spent = time.pthread_getcpuclockid(thread.ident), []
--- a/benchmarks/capacity/fleet_roles.py
+++ b/benchmarks/capacity/fleet_roles.py
@@ -47,10 +47,10 @@
 from willownotch.replica.simulated import Fleet as CustodyFleet
 from willownotch.replica.wire import encode
 from willownotch.settings.types import Flag
-from willownotch.shared.budgets import WHOLE, Budgets
+from willownotch.shared.budgets import WHOLE_PPM, Budgets
 from willownotch.shared.judgements import Judgements, Row
-from willownotch.shared.layer import Sharing
-from willownotch.shared.service import Shared
+from willownotch.shared.layer import SharingLayer
+from willownotch.shared.service import SharedState
 from willownotch.shared.settings import SharedSettings
 from willownotch.usage.settings import UsageSettings
 from willownotch.usage.simulated import Fleet as UsageFleet
@@ -258,7 +258,7 @@
     for n in range(senders):
         name = f"i{n}"
         made[name] = Judgements(name, n + 1, 5.0, 2, 0.5, 4096)
-        net.add(name, layers=(Sharing(name, lambda: 0.2, Random(seed * 1000 + n), None, made[name], 0.0),))
+        net.add(name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 1000 + n), None, made[name], 0.0),))
     net.acquaint()
     net.run(2.0)
     random, names = Random(seed), sorted(made)
@@ -272,14 +272,14 @@
     lookers = sample(names)
 
     def known() -> tuple[float, list[float]]:
-        held, wanted, ages = 0, 0, []
+        held, expected, ages = 0, 0, []
         for name in lookers:
             own = found_by.get(name, set())
             verdicts = made[name].verdicts(net.now, listed)
             others = [verdict for endpoint, verdict in verdicts.items() if endpoint not in own]
-            held, wanted = held + len(others), wanted + down - len(own)
+            held, expected = held + len(others), expected + down - len(own)
             ages += [verdict.age for verdict in others]
-        return (held / wanted if wanted else 1.0), ages
+        return (held / expected if expected else 1.0), ages
 
     began, everybody = net.now, None
     net.begin()
@@ -313,7 +313,7 @@
 
 def round_of(destinations: int, loss: float, seed: int) -> Measures:
     """What `shared` looks through in each round of the membership's thread: all that are listed, 40 down."""
-    shared = Shared(SharedSettings(judgements=Flag.YES), "i0", 1, 32, 0.0, Random(seed))
+    shared = SharedState(SharedSettings(judgements=Flag.YES), "i0", 1, 32, 0.0, Random(seed))
     hosts = {n: Host(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:443", n // 2) for n in range(2 * destinations)}
     shared.endpoints = lambda: {h.name: h.destination for h in list(hosts.values())}  # as `cli` sets it
     rows = [
@@ -342,7 +342,7 @@
         name = f"i{n}"
         made[name] = Budgets(name, senders, 0.0, Random(seed * 1000 + n), 3.0, 0.1)
         made[name].configure({f"tenant {t}": quota for t in range(tenants)})
-        net.add(name, layers=(Sharing(name, lambda: 0.2, Random(seed * 2000 + n), made[name], None, 0.0),))
+        net.add(name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 2000 + n), made[name], None, 0.0),))
     net.acquaint()
     hot = {f"tenant {t}": random.sample(sorted(made), max(1, senders // 4)) for t in range(tenants)}
     demand: dict[str, list[str]] = {}
@@ -356,11 +356,11 @@
         while net.now < until - 1e-9:
             net.run(net.now + 0.2)
             for name, of in demand.items():
-                made[name].wanted(net.now, ((tenant, each * 0.2) for tenant in of))
+                made[name].record_demand(net.now, ((tenant, each * 0.2) for tenant in of))
 
     def served() -> float:
         parts = [
-            min(1.0, made[name].part(tenant, net.now) / WHOLE * quota / each)
+            min(1.0, made[name].part(tenant, net.now) / WHOLE_PPM * quota / each)
             for name in lookers
             for tenant in demand[name]
         ]
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -41,7 +41,7 @@
         serving,
         peers=SHARP,
     )
-    return fleet.joined(60.0).able()
+    return fleet.wait_joined(60.0).able()
 
 
 def waited(check: Callable[[], object], patience: float) -> bool:
@@ -172,7 +172,7 @@
                 4, Path(tempfile.mkdtemp()), f" acks {acks}\n copies 2\n lease 3s\n{extra}", True, peers=SHARP
             )
             try:
-                fleet.joined(60.0).able()
+                fleet.wait_joined(60.0).able()
                 before = fleet.custody(0)["traffic"]
                 clients = [Client(fleet, 0, number, 150) for number in range(4)]
                 began = time.monotonic()
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -20,7 +20,7 @@
 from willownotch.peers.core import Change
 from willownotch.peers.lossy import Network, Weather
 from willownotch.shared.judgements import Judgements
-from willownotch.shared.layer import Sharing
+from willownotch.shared.layer import SharingLayer
 
 MEMBERS = 8
 
@@ -35,7 +35,7 @@
     """What was let through, and by how much the worst stretch of it is over the quota alone."""
     fleet = Eight(MEMBERS, Path(tempfile.mkdtemp()))
     try:
-        fleet.joined(60.0)
+        fleet.wait_joined(60.0)
         until(lambda: all(abs(fleet.part(n) - 1 / MEMBERS) < 0.01 for n in range(MEMBERS)), 30.0)
         loads = [Load(sender, f"l{n}") for n, sender in enumerate(fleet.senders)]
         for load in loads:
@@ -97,7 +97,7 @@
     net, layers = Network(5, Weather(loss=loss, delay=0.02, jitter=0.02)), {}
     for n in range(number):
         made = Judgements(f"i{n}", n + 1, 5.0, 2, 0.5, 4096)
-        layers[f"i{n}"] = Sharing(f"i{n}", lambda: 0.2, Random(n), None, made, 0.0)
+        layers[f"i{n}"] = SharingLayer(f"i{n}", lambda: 0.2, Random(n), None, made, 0.0)
         net.add(f"i{n}", (), layers=(layers[f"i{n}"],))
     net.acquaint()
     net.run(2.0)
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -12,7 +12,7 @@
 
 from rig import rss_kb, spread, write
 
-from meshed import Meshed
+from meshed import MeshFleet
 from harness import Discovery, Host, Sender
 
 from willownotch.files.layer import REAL
@@ -56,9 +56,9 @@
 def on(number, seconds):
     """One of so many senders that know of each other and count."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Meshed(number, Path(folder), peers="", usage="")
+        fleet = MeshFleet(number, Path(folder), peers="", usage="")
         try:
-            fleet.joined(90)
+            fleet.wait_joined(90)
             return idle(fleet.senders[0].process.pid, seconds)
         finally:
             fleet.close()
--- a/benchmarks/usage_loopback.py
+++ b/benchmarks/usage_loopback.py
@@ -21,7 +21,7 @@
 from rig import write
 
 import harness
-from meshed import Meshed
+from meshed import MeshFleet
 
 from willownotch.channel.client import AskError, ask
 from willownotch.peers.lossy import Weather
@@ -143,8 +143,8 @@
     half = set(names[::2])
     harness.SETTINGS["orgs"].append({"name": "bolt", "quotaPerS": 50.0})
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Meshed(chosen.senders, Path(folder), Weather(**BAD), peers=PEERS, usage="")
-        fleet.joined(90)
+        fleet = MeshFleet(chosen.senders, Path(folder), Weather(**BAD), peers=PEERS, usage="")
+        fleet.wait_joined(90)
         truth = Truth()
         loads = [Load(fleet, n, chosen.rate, truth) for n in range(chosen.senders)]
         time.sleep(10.0)
@@ -165,7 +165,7 @@
         fleet.senders[3].process.wait()
         found = phase(fleet, truth, 3.0)
         fleet.senders[3].start()
-        fleet.found(3)
+        fleet.register_address(3)
         results["i3 killed, back after 3 s"] = found + phase(fleet, truth, 10.0)
         agree(fleet, loads)
         for load in loads:
--- a/tests/custodial.py
+++ b/tests/custodial.py
@@ -7,7 +7,7 @@
 import shutil
 
 import harness
-from meshed import Meshed
+from meshed import MeshFleet
 from harness import until
 
 from willownotch.channel.client import ask
@@ -17,7 +17,7 @@
 PATIENCE = 20.0
 
 
-class Custodial(Meshed):
+class Custodial(MeshFleet):
     """Senders that copy orders, statuses and fees to others. Their host can be kept from serving."""
 
     def __init__(self, number, tmp_path, replica="", serving=False, **more):
@@ -107,7 +107,7 @@
 
     def joined_some(self, among):
         """Wait until these know of each other."""
-        until(lambda: all(self.alive(n) >= len(among) - 1 for n in among), PATIENCE)
+        until(lambda: all(self.alive_peers(n) >= len(among) - 1 for n in among), PATIENCE)
 
     def settle(self):
         """Until nobody holds anything."""
--- a/tests/meshed.py
+++ b/tests/meshed.py
@@ -20,7 +20,7 @@
 """
 
 
-class Meshed:
+class MeshFleet:
     """Senders with peers behind a relay."""
 
     def __init__(self, number, tmp_path, weather=None, seed=1, peers=FAST, usage=" exchange 50ms\n"):
@@ -34,7 +34,7 @@
         self.peers, self.usage = peers, usage
         self.senders = [None] * number
         for n in range(number):
-            self.begin(n)
+            self.start_sender(n)
 
     def settings(self, n):
         doors = [f"{host}:{port}" for host, port in self.doors]
@@ -48,11 +48,11 @@
     def socket(self, n):
         return self.path / f"s{n}"
 
-    def begin(self, n):
+    def start_sender(self, n):
         self.senders[n] = Sender(self.discovery, settings=self.settings(n))
-        self.found(n)
+        self.register_address(n)
 
-    def found(self, n):
+    def register_address(self, n):
         """The relay has to know the new socket."""
         sender = self.senders[n]
         said = f"i{n} listens for peers on "
@@ -66,7 +66,7 @@
         sender.process.send_signal(with_signal)
         sender.process.wait(harness.PATIENCE)
         sender.start()
-        self.found(n)
+        self.register_address(n)
 
     def taken(self, n, what="taken"):
         """What an instance holds to be taken on."""
@@ -75,11 +75,11 @@
     def all_hold(self, number):
         until(lambda: all(self.taken(n) == number for n in range(len(self.senders))))
 
-    def joined(self, patience=harness.PATIENCE):
-        until(lambda: all(self.alive(n) == len(self.senders) - 1 for n in range(len(self.senders))), patience)
+    def wait_joined(self, patience=harness.PATIENCE):
+        until(lambda: all(self.alive_peers(n) == len(self.senders) - 1 for n in range(len(self.senders))), patience)
         return self
 
-    def alive(self, n):
+    def alive_peers(self, n):
         return sum(m["state"] == "alive" for m in ask(self.socket(n), "peers")["members"])
 
     def close(self):
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -23,7 +23,7 @@
 
     def made(**more):
         server = Server(tmp_path / f"s{len(servers)}", **more)
-        server.answers["length"] = lambda about: len(about["text"])
+        server.handlers["length"] = lambda about: len(about["text"])
         servers.append(server)
         start("control", server.run)
         return server
@@ -42,7 +42,7 @@
         assert go_on.wait(PATIENCE)
         return "done"
 
-    server.answers["slow"] = slow
+    server.handlers["slow"] = slow
     found = []
     asking = threading.Thread(target=lambda: found.append(ask(server.path, "slow", patience=PATIENCE)))
     asking.start()
@@ -70,7 +70,7 @@
             at_once.pop()
         return "done"
 
-    server.answers["slow"] = slow
+    server.handlers["slow"] = slow
     found = []
     asking = [
         threading.Thread(target=lambda: found.append(ask(server.path, "slow", patience=PATIENCE)))
--- a/tests/test_controlplane_page.py
+++ b/tests/test_controlplane_page.py
@@ -10,7 +10,7 @@
 import pytest
 
 from willownotch.controlplane import settings
-from willownotch.settings.types import show_size, words
+from willownotch.settings.types import format_size, block_settings
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "control-plane.md").read_text(encoding="utf-8")
@@ -29,13 +29,13 @@
         return f"{value.total_seconds() / unit:g}{'min' if unit == 60 else 's'}"
     if isinstance(value, tuple):
         return "{}:{}".format(*value)
-    return show_size(value) if name in ("rate", "budget") else f"{value}"
+    return format_size(value) if name in ("rate", "budget") else f"{value}"
 
 
 @pytest.mark.parametrize("block", [settings.MemberSettings, settings.FollowSettings])
 def test_every_setting_has_its_row_with_its_default(block):
     defaults = {field.name: field.default for field in msgspec.structs.fields(block)}
-    for word, (name, _) in words(block).items():
+    for word, (name, _) in block_settings(block).items():
         rows = [line for line in PAGE.splitlines() if re.match(rf"\| [^|]*`{word}[` ]", line)]
         default = defaults[name]
         if default in (None, (), "", {}) or default is msgspec.NODEFAULT:
--- a/tests/test_lease_sockets.py
+++ b/tests/test_lease_sockets.py
@@ -9,7 +9,7 @@
 
 import pytest
 import harness
-from meshed import Meshed
+from meshed import MeshFleet
 from harness import ROOT, until
 
 from willownotch.channel.client import ask
@@ -19,7 +19,7 @@
 MEMBERS = 5
 
 
-class Leasing(Meshed):
+class Leasing(MeshFleet):
     """Senders with one duty, whose holder acts ten times a second."""
 
     def __init__(self, number, tmp_path, **more):
@@ -64,7 +64,7 @@
 
     def make(**more):
         made.append(Leasing(MEMBERS, tmp_path, **more))
-        return made[-1].joined(PATIENCE)
+        return made[-1].wait_joined(PATIENCE)
 
     yield make
     for each in made:
@@ -116,7 +116,7 @@
     until(lambda: any(fleet.acts_of(n, second) for n in range(MEMBERS) if n not in few), PATIENCE)
     assert not set(fleet.holders()) & few
     fleet.relay.weather = Weather()
-    fleet.joined(PATIENCE)
+    fleet.wait_joined(PATIENCE)
     until(lambda: len({fleet.duty(n)["holder"] for n in range(MEMBERS)} - {""}) == 1, PATIENCE)
     assert len(fleet.holders()) == 1
 
@@ -134,7 +134,7 @@
     shutil.rmtree(sender.state)
     shutil.copytree(tmp_path / "old", sender.state)
     sender.start()
-    fleet.found(first)
+    fleet.register_address(first)
     fleet.kill(second)
     third = fleet.held()
     assert fleet.duty(third)["token"] > token + 1
--- a/tests/test_mesh_sockets.py
+++ b/tests/test_mesh_sockets.py
@@ -13,7 +13,7 @@
 
 import pytest
 import harness
-from meshed import KEYS, Meshed
+from meshed import KEYS, MeshFleet
 from harness import ROOT, Sender, until
 
 from willownotch.channel.client import AskError, ask
@@ -25,8 +25,8 @@
     made = []
 
     def make(*arguments, **more):
-        made.append(Meshed(*arguments, tmp_path, **more))
-        return made[-1].joined()
+        made.append(MeshFleet(*arguments, tmp_path, **more))
+        return made[-1].wait_joined()
 
     yield make
     for each in made:
@@ -65,7 +65,7 @@
         if folder is not None:
             shutil.copytree(folder, one.state)
         one.start()
-        fleet.found(1)
+        fleet.register_address(1)
 
     for _ in range(3):
         one.hand_in("status")
@@ -102,7 +102,7 @@
     assert "not refuted" in ask(fleet.socket(0), "peers")["members"][0]["why"]
     fleet.senders[1].hand_in("status")
     fleet.relay.weather = Weather()
-    fleet.joined().all_hold(1)
+    fleet.wait_joined().all_hold(1)
 
 
 def test_keys_are_rolled_with_no_gap(meshed):
--- a/tests/test_replica_sockets.py
+++ b/tests/test_replica_sockets.py
@@ -21,7 +21,7 @@
 
     def make(number=5, **more):
         made.append(Custodial(number, tmp_path, **more))
-        return made[-1].joined(PATIENCE).able()
+        return made[-1].wait_joined(PATIENCE).able()
 
     yield make
     for each in made:
@@ -126,20 +126,20 @@
     old.process.wait(harness.PATIENCE)
     shutil.copytree(old.state, tmp_path / "old")
     old.start()
-    fleet.found(1)
-    fleet.joined(PATIENCE).able()
+    fleet.register_address(1)
+    fleet.wait_joined(PATIENCE).able()
     late = fleet.take(0, 4, left=27000)
     old.process.kill()
     old.process.wait(harness.PATIENCE)
     shutil.rmtree(old.state)
     shutil.copytree(tmp_path / "old", old.state)
     old.start()
-    fleet.found(1)
-    fleet.joined(PATIENCE)
+    fleet.register_address(1)
+    fleet.wait_joined(PATIENCE)
     until(lambda: sum(c["messages"] for c in fleet.custody(1)["copies"] if c["sure"]) == 7, PATIENCE)
     fleet.lose(0, 2)  # what is left is the one with the old folder
     fleet.serve()
-    fleet.begin(2)
+    fleet.start_sender(2)
     fleet.joined_some([1, 2])
     fleet.delivered_once(early + late)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -24,9 +24,9 @@
     TenantPart,
 )
 from willownotch.peers.lossy import Network, Weather
-from willownotch.shared.budgets import WHOLE, Budgets, Loan, Wish
+from willownotch.shared.budgets import WHOLE_PPM, Budgets, Loan, Wish
 from willownotch.shared.judgements import Judgements, Row
-from willownotch.shared.layer import Ask, Found, Lend, Sharing
+from willownotch.shared.layer import Ask, Found, Lend, SharingLayer
 
 SPAN = 3.0
 
@@ -82,7 +82,7 @@
 
     def check(self):
         total = sum(made.part("acme", self.clock(n)) for n, made in enumerate(self.made))
-        assert total <= WHOLE, total
+        assert total <= WHOLE_PPM, total
 
 
 @settings(max_examples=40, deadline=None)
@@ -101,7 +101,7 @@
         story.step()
     for what, n, amount in moves:
         if what == "load":
-            story.made[n].wanted(story.clock(n), [("acme", amount)])
+            story.made[n].record_demand(story.clock(n), [("acme", amount)])
         elif what == "cut":
             story.cut.add(n)
         elif what == "heal":
@@ -117,57 +117,57 @@
     for _ in range(40):
         story.step()
     for _ in range(60):
-        story.made[0].wanted(story.clock(0), [("acme", 9)])  # 90 a second of 100
+        story.made[0].record_demand(story.clock(0), [("acme", 9)])  # 90 a second of 100
         story.step()
     busy = story.made[0].part("acme", story.clock(0))
-    assert busy > 0.6 * WHOLE
+    assert busy > 0.6 * WHOLE_PPM
     for _ in range(80):
         for n in range(4):
-            story.made[n].wanted(story.clock(n), [("acme", 9)])  # all want more than there is
+            story.made[n].record_demand(story.clock(n), [("acme", 9)])  # all want more than there is
         story.step()
     parts = [made.part("acme", story.clock(n)) for n, made in enumerate(story.made)]
-    assert min(parts) > 0.2 * WHOLE
+    assert min(parts) > 0.2 * WHOLE_PPM
 
 
 def test_who_hears_nothing_has_its_own_part_again_within_a_loan():
     story = Story(2)
     for _ in range(90):
-        story.made[0].wanted(story.clock(0), [("acme", 9)])
+        story.made[0].record_demand(story.clock(0), [("acme", 9)])
         story.step()
     story.cut |= {0, 1, 2, 3}
     for _ in range(33):
         story.step()
-    assert [made.part("acme", story.clock(n)) for n, made in enumerate(story.made)] == [WHOLE // 4] * 4
+    assert [made.part("acme", story.clock(n)) for n, made in enumerate(story.made)] == [WHOLE_PPM // 4] * 4
 
 
 @pytest.mark.parametrize(
     "loan",
     [
-        Loan(1, "acme", WHOLE, SPAN),
+        Loan(1, "acme", WHOLE_PPM, SPAN),
         Loan(2, "acme", -5, SPAN),
         Loan(3, "nobody", 1000, SPAN),
-        Loan(4, "acme", WHOLE // 4 + 1, 1e9),
+        Loan(4, "acme", WHOLE_PPM // 4 + 1, 1e9),
     ],
 )
 def test_nobody_lends_what_it_cannot_own(loan):
     made = budgets_of("i0")
     made.borrowed(10.0, "i1", 9.9, [loan])
-    assert made.part("acme", 10.0) == WHOLE // 4
+    assert made.part("acme", 10.0) == WHOLE_PPM // 4
 
 
 def test_a_lying_lender_gives_no_more_than_one_part():
     made = budgets_of("i0")
     for number in range(50):
-        made.borrowed(10.0, "i1", 9.9, [Loan(number, "acme", WHOLE // 8, SPAN)])
-    assert made.part("acme", 10.0) == WHOLE // 2
-    assert made.part("acme", 13.0) == WHOLE // 4
+        made.borrowed(10.0, "i1", 9.9, [Loan(number, "acme", WHOLE_PPM // 8, SPAN)])
+    assert made.part("acme", 10.0) == WHOLE_PPM // 2
+    assert made.part("acme", 13.0) == WHOLE_PPM // 4
 
 
 def test_a_process_that_begins_spends_at_first_only_what_is_never_lent():
     made = budgets_of("i0", now=100.0)
-    assert made.part("acme", 101.0) == WHOLE // 40
+    assert made.part("acme", 101.0) == WHOLE_PPM // 40
     assert made.lend(101.0, "i1", [Wish("acme", 1000)]) == []
-    assert made.part("acme", 103.1) == WHOLE // 4
+    assert made.part("acme", 103.1) == WHOLE_PPM // 4
 
 
 # Judgements
@@ -285,7 +285,7 @@
     for n in range(number):
         name = f"i{n}"
         made = budgets_of(name, number)
-        layers[name] = Sharing(name, lambda: 0.2, Random(n), made, judge(name, n + 1), 0.0)
+        layers[name] = SharingLayer(name, lambda: 0.2, Random(n), made, judge(name, n + 1), 0.0)
         net.add(name, ("i0",) if n else (), offset=5.0 * n, layers=(layers[name],))
     return net, layers
 
@@ -333,10 +333,10 @@
 )
 def test_whatever_comes_the_own_part_stands_and_nothing_fails(message):
     made = budgets_of("i0")
-    layer = Sharing("i0", lambda: 0.2, Random(1), made, judge("i0", 99), 0.0)
+    layer = SharingLayer("i0", lambda: 0.2, Random(1), made, judge("i0", 99), 0.0)
     layer.receive(10.0, ("127.0.0.1", 1), message)
     layer.receive(10.0, ("127.0.0.1", 1), message)
-    assert made.part("acme", 10.0) <= WHOLE // 2 + 1
+    assert made.part("acme", 10.0) <= WHOLE_PPM // 2 + 1
 
 
 # The decisions
--- a/tests/test_shared_sockets.py
+++ b/tests/test_shared_sockets.py
@@ -12,7 +12,7 @@
 from random import Random
 
 import pytest
-from meshed import KEYS, Meshed
+from meshed import KEYS, MeshFleet
 from harness import SETTINGS, Host, Sender, until
 
 from willownotch.channel.client import ask
@@ -24,13 +24,13 @@
 from willownotch.peers.seal import Seal, read_keys
 from willownotch.peers.settings import PeersSettings
 from willownotch.shared.judgements import Judgements
-from willownotch.shared.layer import Sharing
+from willownotch.shared.layer import SharingLayer
 
 PATIENCE = 20.0
 QUOTA, BURST_S, MEMBERS = 50.0, 2.0, 4
 
 
-class SharingFleet(Meshed):
+class SharingFleet(MeshFleet):
     """Senders with one budget in parts, and judgements."""
 
     shared = (
@@ -58,7 +58,7 @@
 
     def make(number=MEMBERS, weather=None, more=""):
         made.append(SharingFleet(number, tmp_path, weather, more))
-        return made[-1].joined(PATIENCE)
+        return made[-1].wait_joined(PATIENCE)
 
     yield make
     for each in made:
@@ -219,7 +219,7 @@
     uid, door = secrets.randbits(48), fleet.relay.door("liar")
     fleet.relay.behind("liar", sock.getsockname())
     judgements = Judgements("liar", uid, 2.0, 2, 0.5, 1000)
-    layer = Sharing("liar", lambda: 0.05, Random(1), None, judgements, time.monotonic())
+    layer = SharingLayer("liar", lambda: 0.05, Random(1), None, judgements, time.monotonic())
     node = Node(Membership("liar", door, uid, PeersSettings(), Random(2)), (layer,))
     edge = Edge(sock, node, Seal(uid, read_keys(KEYS), node.decode), 10**6, lambda text: None)
 
--- a/willownotch/blocks.py
+++ b/willownotch/blocks.py
@@ -12,7 +12,7 @@
 from willownotch.lease.settings import LeaseSettings
 from willownotch.peers.settings import PeersSettings
 from willownotch.replica.settings import ReplicaSettings
-from willownotch.settings.types import Inner
+from willownotch.settings.types import NestedBlock
 from willownotch.shared.settings import SharedSettings
 from willownotch.usage.settings import UsageSettings
 
@@ -20,15 +20,15 @@
 class Blocks(msgspec.Struct, frozen=True):
     """All that a settings file may hold."""
 
-    bodies: Annotated[BodiesSettings, Inner(BodiesSettings)] = BodiesSettings()
-    control: Annotated[ChannelSettings, Inner(ChannelSettings)] = ChannelSettings()
-    follow: Annotated[FollowSettings, Inner(FollowSettings)] = FollowSettings()
-    lease: Annotated[LeaseSettings, Inner(LeaseSettings)] = LeaseSettings()
-    member: Annotated[MemberSettings, Inner(MemberSettings)] = MemberSettings()
-    peers: Annotated[PeersSettings, Inner(PeersSettings)] = PeersSettings()
-    replica: Annotated[ReplicaSettings, Inner(ReplicaSettings)] = ReplicaSettings()
-    shared: Annotated[SharedSettings, Inner(SharedSettings)] = SharedSettings()
-    usage: Annotated[UsageSettings, Inner(UsageSettings)] = UsageSettings()
+    bodies: Annotated[BodiesSettings, NestedBlock(BodiesSettings)] = BodiesSettings()
+    control: Annotated[ChannelSettings, NestedBlock(ChannelSettings)] = ChannelSettings()
+    follow: Annotated[FollowSettings, NestedBlock(FollowSettings)] = FollowSettings()
+    lease: Annotated[LeaseSettings, NestedBlock(LeaseSettings)] = LeaseSettings()
+    member: Annotated[MemberSettings, NestedBlock(MemberSettings)] = MemberSettings()
+    peers: Annotated[PeersSettings, NestedBlock(PeersSettings)] = PeersSettings()
+    replica: Annotated[ReplicaSettings, NestedBlock(ReplicaSettings)] = ReplicaSettings()
+    shared: Annotated[SharedSettings, NestedBlock(SharedSettings)] = SharedSettings()
+    usage: Annotated[UsageSettings, NestedBlock(UsageSettings)] = UsageSettings()
 
     def faults(self) -> list[tuple[str, str]]:
         """What does not go together over blocks."""
@@ -36,13 +36,13 @@
         found = []
         if self.usage.count and self.peers.listen is None:
             found.append(("usage", f"'count yes' without peers, {wanted}"))
-        if self.replica.on() and self.peers.listen is None:
+        if self.replica.enabled() and self.peers.listen is None:
             found.append(("replica", f"'acks' without peers, {wanted}"))
-        if self.lease.on() and self.peers.listen is None:
+        if self.lease.enabled() and self.peers.listen is None:
             found.append(("lease", f"duties without peers, {wanted}"))
-        if self.shared.on() and self.peers.listen is None:
+        if self.shared.enabled() and self.peers.listen is None:
             found.append(("shared", f"'budgets' or 'judgements' without peers, {wanted}"))
-        if self.member.on() and self.peers.listen is None:
+        if self.member.enabled() and self.peers.listen is None:
             found.append(("member", f"'folder' without peers, {wanted}"))
         if self.shared.budgets and self.usage.share_quotas:
             found.append(("shared", "'budgets' and 'share-quotas' of usage both, allowed: one of them"))
--- a/willownotch/bodies/settings.py
+++ b/willownotch/bodies/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from willownotch.interface import Idempotency
-from willownotch.settings.types import ChoiceWord, Flag, Named, ShareWord, SizeWord, SpanWord, YesNo
+from willownotch.settings.types import ChoiceType, Flag, NamedBlocks, ShareType, SizeType, DurationType, YesNo
 
 PATIENCE = timedelta(milliseconds=10), timedelta(milliseconds=250)  # a client waits 400 ms for its answer
 
@@ -24,26 +24,26 @@
 class ClassBodies(msgspec.Struct, frozen=True):
     """How one class is treated. What is left out follows from what a repeat of the class does."""
 
-    share: Annotated[float, ShareWord()] | None = None  # of the bodies' room: always to be had
-    at_limit: Annotated[AtLimit, ChoiceWord(AtLimit)] | None = None
+    share: Annotated[float, ShareType()] | None = None  # of the bodies' room: always to be had
+    at_limit: Annotated[AtLimit, ChoiceType(AtLimit)] | None = None
     drop: YesNo | None = None  # whether an owed message may end to make room for what is worth more
 
 
 class BodiesSettings(msgspec.Struct, frozen=True):
     """All that can be set, with defaults for the smallest platform."""
 
-    memory: Annotated[int, SizeWord(0, 10**12)] | None = None  # bytes; else a part of the machine's memory
-    memory_low: Annotated[float, ShareWord()] = 0.75  # of it: below that, bodies stay in memory again
-    inline: Annotated[int, SizeWord(0, 64 * 1024)] = 2048  # a body up to this stands in its journal record
-    inline_low: Annotated[int, SizeWord(0, 64 * 1024)] = 256  # the same once memory is used up
-    segment: Annotated[int, SizeWord(4096, 10**9)] | None = None  # bytes of a file; else a part of the disk
-    journal_share: Annotated[float, ShareWord(0.05, 0.9)] = 0.25  # of disk_mb that bodies never take
-    disk_low: Annotated[float, ShareWord()] = 0.85  # of the bodies' room: below that, the last step is left
-    destination_share: Annotated[float, ShareWord(0.01)] = 0.5  # of the room, for one destination
-    reclaim: Annotated[float, ShareWord(0.05)] = 0.5  # dead share: from there on files are written anew
-    write_patience: Annotated[timedelta, SpanWord(*PATIENCE)] = timedelta(milliseconds=200)
-    come_back: Annotated[timedelta, SpanWord(timedelta(0), timedelta(hours=1))] = timedelta(milliseconds=500)
-    class_: Annotated[dict[str, ClassBodies], Named(ClassBodies)] = {}
+    memory: Annotated[int, SizeType(0, 10**12)] | None = None  # bytes; else a part of the machine's memory
+    memory_low: Annotated[float, ShareType()] = 0.75  # of it: below that, bodies stay in memory again
+    inline: Annotated[int, SizeType(0, 64 * 1024)] = 2048  # a body up to this stands in its journal record
+    inline_low: Annotated[int, SizeType(0, 64 * 1024)] = 256  # the same once memory is used up
+    segment: Annotated[int, SizeType(4096, 10**9)] | None = None  # bytes of a file; else a part of the disk
+    journal_share: Annotated[float, ShareType(0.05, 0.9)] = 0.25  # of disk_mb that bodies never take
+    disk_low: Annotated[float, ShareType()] = 0.85  # of the bodies' room: below that, the last step is left
+    destination_share: Annotated[float, ShareType(0.01)] = 0.5  # of the room, for one destination
+    reclaim: Annotated[float, ShareType(0.05)] = 0.5  # dead share: from there on files are written anew
+    write_patience: Annotated[timedelta, DurationType(*PATIENCE)] = timedelta(milliseconds=200)
+    come_back: Annotated[timedelta, DurationType(timedelta(0), timedelta(hours=1))] = timedelta(milliseconds=500)
+    class_: Annotated[dict[str, ClassBodies], NamedBlocks(ClassBodies)] = {}
 
     def faults(self) -> list[tuple[str, str]]:
         """What does not go together: field and text."""
--- a/willownotch/channel/server.py
+++ b/willownotch/channel/server.py
@@ -26,7 +26,7 @@
     about: dict[str, str] = {}
 
 
-class BadQuestionError(ValueError):
+class BadRequestError(ValueError):
     """A question that cannot be answered; the text says why."""
 
 
@@ -75,7 +75,7 @@
         replace: bool = False,
     ) -> None:
         self.path, self.line_most, self.start = Path(path), line_most, start
-        self.answers: dict[str, Answerer] = {}
+        self.handlers: dict[str, Answerer] = {}
         self._places = threading.BoundedSemaphore(at_once if start is not None else 1)
         self._sock = bind(self.path, replace)
 
@@ -119,13 +119,13 @@
         """A question's answer; what is wrong with it, if anything is."""
         try:
             if len(line) > self.line_most:
-                raise BadQuestionError(f"a question of more than {self.line_most} bytes")
+                raise BadRequestError(f"a question of more than {self.line_most} bytes")
             question = msgspec.json.decode(line, type=Question)
-            if question.ask not in self.answers:
-                known = ", ".join(sorted(self.answers)) or "nothing"
-                raise BadQuestionError(f"unknown question {question.ask!r}, allowed: {known}")
-            found = self.answers[question.ask](question.about)
-        except (msgspec.DecodeError, BadQuestionError) as fault:
+            if question.ask not in self.handlers:
+                known = ", ".join(sorted(self.handlers)) or "nothing"
+                raise BadRequestError(f"unknown question {question.ask!r}, allowed: {known}")
+            found = self.handlers[question.ask](question.about)
+        except (msgspec.DecodeError, BadRequestError) as fault:
             found = {"error": str(fault)}
         return msgspec.json.encode(found)
 
--- a/willownotch/channel/settings.py
+++ b/willownotch/channel/settings.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from willownotch.settings.types import TextWord
+from willownotch.settings.types import TextType
 
 
 class ChannelSettings(msgspec.Struct, frozen=True):
     """Where a running sender can be asked."""
 
-    socket: Annotated[str, TextWord("the path of a Unix socket, up to 100 bytes")] | None = None
+    socket: Annotated[str, TextType("the path of a Unix socket, up to 100 bytes")] | None = None
 
     def faults(self) -> list[tuple[str, str]]:
         """A path that no Unix socket can have."""
--- a/willownotch/channel/tables.py
+++ b/willownotch/channel/tables.py
@@ -10,7 +10,7 @@
 ENDS = ("delivered", "handed_back", "given_up", "withdrawn")
 
 
-def span(seconds: float | None) -> str:
+def format_duration(seconds: float | None) -> str:
     """A time that has passed."""
     if seconds is None:
         return "-"
@@ -23,7 +23,7 @@
 def peers(found: dict[str, Any]) -> str:
     """What a sender knows of its peers."""
     rows = [
-        [m["name"], m["address"], m["state"], span(m["since_s"]), span(m["heard_s"]), m["why"]]
+        [m["name"], m["address"], m["state"], format_duration(m["since_s"]), format_duration(m["heard_s"]), m["why"]]
         for m in found["members"]
     ]
     head = (
@@ -74,7 +74,7 @@
     ]
     told = [
         f"{found['name']}: {found['lives']} processes and {found['settled']} settled ones; the oldest "
-        f"part is {found['oldest'] or '-'}'s, {span(found['oldest_s'])} old"
+        f"part is {found['oldest'] or '-'}'s, {format_duration(found['oldest_s'])} old"
     ]
     if found["unheard"]:
         told.append(f"not heard of yet, so nothing is bounded above: {', '.join(found['unheard'])}")
@@ -92,7 +92,7 @@
             b["book"],
             str(b["term"]),
             b["stage"],
-            span(b["lease_s"]),
+            format_duration(b["lease_s"]),
             str(b["messages"]),
             str(b["below"]),
             " ".join(f"{r['name']}:{'?' if r['lag'] is None else r['lag']}" for r in b["replicas"]) or "-",
@@ -108,7 +108,7 @@
             str(c["messages"]),
             str(c["bytes"]),
             "yes" if c["sure"] else "no",
-            span(c["heard_s"]),
+            format_duration(c["heard_s"]),
         ]
         for c in found["copies"]
     ]
@@ -155,7 +155,7 @@
             r["source"],
             word(r["failing"]),
             "-" if r["limit"] is None else f"{r['limit']:g}",
-            span(r["age_s"]),
+            format_duration(r["age_s"]),
         ]
         for r in found["rows"]
     ]
@@ -163,7 +163,7 @@
     return "\n".join(
         [
             f"{found['name']}: owns {found['own']:.1%} of each budget; a loan ends after "
-            f"{span(found['loan_s'])}, what is found of an endpoint after {span(found['judgement_s'])}",
+            f"{format_duration(found['loan_s'])}, what is found of an endpoint after {format_duration(found['judgement_s'])}",
             table(["BUDGET", "PER S", "PART", "LENT", "BORROWED", "DEMAND"], budgets)
             if budgets
             else "no budgets",
@@ -182,7 +182,7 @@
             d["duty"],
             d["holder"] or "nobody",
             str(d["token"]),
-            span(d["left_s"]),
+            format_duration(d["left_s"]),
             d["here"],
             str(d["acts"]),
             str(d["taken"]),
@@ -192,7 +192,7 @@
     ]
     return "\n".join(
         [
-            f"{found['name']}: leases of {span(found['span_s'])}, granted by a majority of "
+            f"{found['name']}: leases of {format_duration(found['span_s'])}, granted by a majority of "
             f"{', '.join(found['electors'])}",
             table(["DUTY", "HOLDER", "TOKEN", "LEFT", "HERE", "ACTS", "TAKEN", "REFUSED"], rows)
             if rows
@@ -208,7 +208,7 @@
     told = [
         f"{found['name']} follows {found['member'] or 'no member'}: revision {found['in_force']} in "
         f"force, {found['revision']} held (token {found['token']}, digest {found['digest'][:12]}), "
-        f"{found['entries']} entries; a member was heard {span(found['unheard_s'])} ago"
+        f"{found['entries']} entries; a member was heard {format_duration(found['unheard_s'])} ago"
     ]
     if found["refused"]:
         told.append(f"revision {found['refused']} was refused here: {found['text']}")
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -25,7 +25,7 @@
 from willownotch.handover.predecessor import Predecessor
 from willownotch.handover.successor import PredecessorLink, Successor
 from willownotch.lifecycle import Event, SharedLifecycle
-from willownotch.management import edge as management
+from willownotch.management import server as management
 from willownotch.management.calls import Calls
 from willownotch.net import config as configs
 from willownotch.net import journal as journals
@@ -181,7 +181,7 @@
             later += [mesh.reload(fresh)]
         elif fresh.peers.listen != blocks.peers.listen:
             later += ["peers listen"]
-        if following is not None and fresh.follow.on():
+        if following is not None and fresh.follow.enabled():
             following.reload(fresh.follow)
     except (ValueError, OSError) as fault:
         log.say("reload", f"the old settings stay: {fault}")
@@ -235,13 +235,13 @@
         from willownotch.channel.server import Server
 
         channel = Server(blocks.control.socket, replace=succeeds)
-        channel.answers["counters"] = lambda about: {
+        channel.handlers["counters"] = lambda about: {
             "process": os.getpid(),
             "counters": log.counters.snapshot(),
             "retries": RETRIES.snapshot(),
         }
         if mesh is not None:
-            mesh.answer_on(channel)
+            mesh.register_handlers(channel)
     return mesh, channel
 
 
@@ -256,7 +256,7 @@
     startup: Startup,
 ) -> Following | None:
     """The side that follows the control plane, where the settings have it; nothing is loaded where not."""
-    if not blocks.follow.on():
+    if not blocks.follow.enabled():
         return None
     from willownotch.controlplane.sender import Following
 
@@ -277,7 +277,7 @@
         sys.stderr.flush()
         os._exit(EXIT_FAULTY)
     if channel is not None:
-        channel.answers["follow"] = lambda about: made.view()
+        channel.handlers["follow"] = lambda about: made.view()
     return made
 
 
@@ -510,7 +510,7 @@
             load_keys(keys)
         except ValueError as fault:
             mistakes.append(str(fault))
-    if config is not None and blocks.follow.on():
+    if config is not None and blocks.follow.enabled():
         from willownotch.controlplane.sender import kept_overlay
         from willownotch.controlplane.store import StoreError
 
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -23,7 +23,7 @@
 from blake3 import blake3
 
 from willownotch.blocks import Blocks
-from willownotch.channel.server import BadQuestionError, Server
+from willownotch.channel.server import BadRequestError, Server
 from willownotch.cli import EXIT_FAULTY, THREAD_STACK_BYTES, Threads, load_blocks
 from willownotch.controlplane import agreement, entries, operators, wire
 from willownotch.controlplane.commit import CommitPace, Commits, Result, Stage
@@ -128,7 +128,7 @@
 
     def __init__(self, blocks: Blocks, bootstrap: bool, files: Files, say: Say) -> None:
         settings = blocks.member
-        if not settings.on():
+        if not settings.enabled():
             raise MemberError("no block member with 'folder', wanted: one in the settings file")
         if blocks.peers.name is None or blocks.peers.name not in settings.voters:
             raise MemberError(
@@ -273,7 +273,7 @@
         start("member-in", self.links.run, True)
         start("followers", self._receive, True)
         if self.channel is not None:
-            self.channel.answers.update(
+            self.channel.handlers.update(
                 {
                     "status": lambda about: self.status(),
                     "change": self._asked,
@@ -492,7 +492,7 @@
         now = time.monotonic()
         with self.lock:
             if self._ending:
-                raise BadQuestionError("this member ends, ask another")
+                raise BadRequestError("this member ends, ask another")
             self._waiting.setdefault(change.id, []).append(waiter)
             self._send(self.commits.submit(now, change))
             self._settle(now)
@@ -532,7 +532,7 @@
         `ValueError` or `OSError`, and nothing changed, if they are not sound.
         """
         old, settings = self.blocks, blocks.member
-        if not settings.on() or blocks.peers.keys is None:
+        if not settings.enabled() or blocks.peers.keys is None:
             raise MemberError("no block member with 'folder', or no 'keys' of peers")
         keys, reference = load_keys(blocks.peers.keys), read_reference(settings)
         later = [
--- a/willownotch/controlplane/operators.py
+++ b/willownotch/controlplane/operators.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from willownotch.channel.server import BadQuestionError
+from willownotch.channel.server import BadRequestError
 from willownotch.controlplane.commit import CommitView, Result
 from willownotch.controlplane.document import Change, Document, DocumentError
 from willownotch.controlplane.entries import encode
@@ -88,7 +88,7 @@
     if text is None:
         return default
     if not text.isdecimal() or len(text) > 18:
-        raise BadQuestionError(f"{word} {text!r} is no whole number")
+        raise BadRequestError(f"{word} {text!r} is no whole number")
     return int(text)
 
 
@@ -101,7 +101,7 @@
             raise ValueError(f"an id has {2 * ID} hexadecimal digits, not {asked.id!r}")
         sets = {key: encode(value) for key, value in asked.sets.items()}
     except (ValueError, OverflowError) as fault:  # msgspec's own are ValueErrors
-        raise BadQuestionError(f"no change: {fault}") from None
+        raise BadRequestError(f"no change: {fault}") from None
     return Change(change_id, asked.author, asked.base, sets, asked.removes)
 
 
@@ -117,7 +117,7 @@
     try:
         sets, removes = document.undo(revision)
     except DocumentError as fault:
-        raise BadQuestionError(str(fault)) from None
+        raise BadRequestError(str(fault)) from None
     if (key := about.get("key")) is not None:
         value = sets.get(key, None if key in removes else document.get(key))
         entries = {} if value is None else {key: value}
--- a/willownotch/controlplane/settings.py
+++ b/willownotch/controlplane/settings.py
@@ -7,29 +7,29 @@
 
 import msgspec
 
-from willownotch.settings.types import AddressWord, CountWord, ListWord, Named, SizeWord, SpanWord, TextWord
+from willownotch.settings.types import AddressType, CountType, ListType, NamedBlocks, SizeType, DurationType, TextType
 
 TENTH, MINUTE, HOUR = timedelta(milliseconds=100), timedelta(minutes=1), timedelta(hours=1)
-FOLDER = TextWord("the path of a folder of its own")
+FOLDER = TextType("the path of a folder of its own")
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
     """One member: its folder, the voters, and what it allows its followers. Its name is that of `peers`."""
 
     folder: Annotated[str, FOLDER] | None = None  # off where it is not set
-    voters: Annotated[tuple[str, ...], ListWord(TextWord("a member's name"))] = ()  # the same everywhere
-    followers: Annotated[tuple[str, int], AddressWord()] | None = None  # where senders ask, by datagrams
-    reference: Annotated[str, TextWord("the path of a sender's configuration")] | None = None  # that every
+    voters: Annotated[tuple[str, ...], ListType(TextType("a member's name"))] = ()  # the same everywhere
+    followers: Annotated[tuple[str, int], AddressType()] | None = None  # where senders ask, by datagrams
+    reference: Annotated[str, TextType("the path of a sender's configuration")] | None = None  # that every
     # change is tried on before it is accepted
-    lease: Annotated[timedelta, SpanWord(2 * TENTH, MINUTE)] = timedelta(seconds=3)
-    history: Annotated[int, CountWord(16, 100_000)] = 4096  # changes kept for differences and roll-back
-    most_followers: Annotated[int, CountWord(1, 10_000)] = 400
-    admissions: Annotated[int, CountWord(1, 10_000)] = 50  # new followers a second
-    copies: Annotated[int, CountWord(1, 1000)] = 4  # whole copies served at once
-    rate: Annotated[int, SizeWord(4096, 10**9)] = 400_000  # bytes a second to all followers together
-    remember: Annotated[timedelta, SpanWord(TENTH, 24 * HOUR)] = 10 * MINUTE  # who is unheard
-
-    def on(self) -> bool:
+    lease: Annotated[timedelta, DurationType(2 * TENTH, MINUTE)] = timedelta(seconds=3)
+    history: Annotated[int, CountType(16, 100_000)] = 4096  # changes kept for differences and roll-back
+    most_followers: Annotated[int, CountType(1, 10_000)] = 400
+    admissions: Annotated[int, CountType(1, 10_000)] = 50  # new followers a second
+    copies: Annotated[int, CountType(1, 1000)] = 4  # whole copies served at once
+    rate: Annotated[int, SizeType(4096, 10**9)] = 400_000  # bytes a second to all followers together
+    remember: Annotated[timedelta, DurationType(TENTH, 24 * HOUR)] = 10 * MINUTE  # who is unheard
+
+    def enabled(self) -> bool:
         """Whether this is a member."""
         return self.folder is not None
 
@@ -38,9 +38,9 @@
         found = []
         if len(set(self.voters)) != len(self.voters):
             found.append(("voters", "'voters' names one twice, allowed: each once"))
-        if self.on() and len(self.voters) % 2 == 0:
+        if self.enabled() and len(self.voters) % 2 == 0:
             found.append(("voters", f"'voters' has {len(self.voters)} names, wanted: an odd number"))
-        if self.on() and self.followers is None:
+        if self.enabled() and self.followers is None:
             found.append(("folder", "a member without 'followers', wanted: an address to be asked at"))
         return found
 
@@ -48,9 +48,9 @@
 class FollowedSettings(msgspec.Struct, frozen=True):
     """A member that may be followed."""
 
-    address: Annotated[tuple[str, int], AddressWord()] | None = None
-    zone: Annotated[str, TextWord("a zone's name")] = ""
-    region: Annotated[str, TextWord("a region's name")] = ""
+    address: Annotated[tuple[str, int], AddressType()] | None = None
+    zone: Annotated[str, TextType("a zone's name")] = ""
+    region: Annotated[str, TextType("a region's name")] = ""
 
     def faults(self) -> list[tuple[str, str]]:
         """A member that nobody can find."""
@@ -61,30 +61,30 @@
     """Whom a sender follows, and how often it asks."""
 
     folder: Annotated[str, FOLDER] | None = None  # off where it is not set
-    keys: Annotated[str, TextWord("the path of a file with keys")] | None = None
-    listen: Annotated[tuple[str, int], AddressWord()] = ("127.0.0.1", 0)  # where it asks from
-    name: Annotated[str, TextWord("a name that no other has")] | None = None  # else the configuration's
-    zone: Annotated[str, TextWord("a zone's name")] = ""
-    region: Annotated[str, TextWord("a region's name")] = ""
-    member: Annotated[dict[str, FollowedSettings], Named(FollowedSettings)] = {}
-    period: Annotated[timedelta, SpanWord(TENTH, HOUR)] = timedelta(seconds=3)  # between two polls
-    patience: Annotated[timedelta, SpanWord(timedelta(milliseconds=10), HOUR)] = timedelta(seconds=1)
+    keys: Annotated[str, TextType("the path of a file with keys")] | None = None
+    listen: Annotated[tuple[str, int], AddressType()] = ("127.0.0.1", 0)  # where it asks from
+    name: Annotated[str, TextType("a name that no other has")] | None = None  # else the configuration's
+    zone: Annotated[str, TextType("a zone's name")] = ""
+    region: Annotated[str, TextType("a region's name")] = ""
+    member: Annotated[dict[str, FollowedSettings], NamedBlocks(FollowedSettings)] = {}
+    period: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=3)  # between two polls
+    patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(seconds=1)
     # for an answer; three in a row that do not come, and another member is followed
-    home: Annotated[timedelta, SpanWord(TENTH, HOUR)] = timedelta(seconds=60)  # between two looks at the own
+    home: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=60)  # between two looks at the own
     # zone's member, where another is followed
-    rate: Annotated[int, SizeWord(4096, 10**9)] = 200_000  # bytes a second asked for in a whole copy
-    budget: Annotated[int, SizeWord(1024, 10**9)] = 7000  # bytes a second in all else
+    rate: Annotated[int, SizeType(4096, 10**9)] = 200_000  # bytes a second asked for in a whole copy
+    budget: Annotated[int, SizeType(1024, 10**9)] = 7000  # bytes a second in all else
 
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Whether a member is followed."""
         return self.folder is not None
 
     def faults(self) -> list[tuple[str, str]]:
         """What does not go together."""
         found = []
-        if self.on() and self.keys is None:
+        if self.enabled() and self.keys is None:
             found.append(("folder", "'folder' without 'keys', wanted: the path of a file with keys"))
-        if self.on() and not self.member:
+        if self.enabled() and not self.member:
             found.append(("folder", "'folder' without a block 'member', wanted: one or more"))
         if self.patience >= self.period:
             found.append(("patience", "'patience' is not below 'period', allowed: less than 'period'"))
--- a/willownotch/controlplane/shown.py
+++ b/willownotch/controlplane/shown.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from willownotch.channel.tables import span
+from willownotch.channel.tables import format_duration
 from willownotch.columns import table
 
 KEYS_SHOWN = 4  # of a commit
@@ -27,12 +27,12 @@
         lines.append(f"lacks {agreement['behind']} revisions that others have")
     if found["apart_s"] is not None:
         lines.append(
-            f"no majority of the voters has been heard for {span(found['apart_s'])}: no change is "
+            f"no majority of the voters has been heard for {format_duration(found['apart_s'])}: no change is "
             "taken here"
         )
     counts = {member["name"]: member for member in serving["members"]}
     rows = [
-        [name, span(heard), *_counted(counts.get(name))]
+        [name, format_duration(heard), *_counted(counts.get(name))]
         for name, heard in sorted({found["name"]: 0.0, **found["heard"]}.items())
     ]
     lines.append(table(["MEMBER", "HEARD", "REVISION", "FOLLOWERS", "UNHEARD", "APART"], rows))
@@ -41,7 +41,7 @@
     if serving["missing"]:
         lines.append(f"not counted, since their members are not heard: {', '.join(serving['missing'])}")
     late, unheard = (
-        [[m, f, str(r), span(s)] for m, f, r, s in serving[part]] for part in ("laggards", "unheard_names")
+        [[m, f, str(r), format_duration(s)] for m, f, r, s in serving[part]] for part in ("laggards", "unheard_names")
     )
     nacks = [[m, f, str(r), text] for m, f, r, text in serving["nacks"]]
     for what, count, heads, named in (
@@ -66,7 +66,7 @@
         str(member["revision"]),
         str(member["followers"]),
         str(member["unheard"]),
-        span(member["apart_s"]) if member["apart_s"] else "no",
+        format_duration(member["apart_s"]) if member["apart_s"] else "no",
     ]
 
 
--- a/willownotch/lab/experiment/settings.py
+++ b/willownotch/lab/experiment/settings.py
@@ -8,18 +8,18 @@
 
 from willownotch.lab.model.baselines import POLICIES
 from willownotch.lab.model.scenario import Scenario
-from willownotch.settings.types import CountWord, Inner, ListWord, Named, ShareWord, TextWord
+from willownotch.settings.types import CountType, NestedBlock, ListType, NamedBlocks, ShareType, TextType
 
 
 class Experiment(msgspec.Struct, frozen=True):
     """What is to be played: each scenario at each load with each policy and each seed."""
 
-    seeds: Annotated[int, CountWord(1, 10_000)] = 20
-    first_seed: Annotated[int, CountWord()] = 1
-    policies: Annotated[tuple[str, ...], ListWord(TextWord("the name of a policy"))] = ("module",)
-    loads: Annotated[tuple[float, ...], ListWord(ShareWord(0.01, 5.0))] = ()  # else each scenario's own
-    reference: Annotated[str, TextWord("the name of a policy")] = "module"  # what the others are held to
-    scenario: Annotated[dict[str, Scenario], Named(Scenario)] = {}
+    seeds: Annotated[int, CountType(1, 10_000)] = 20
+    first_seed: Annotated[int, CountType()] = 1
+    policies: Annotated[tuple[str, ...], ListType(TextType("the name of a policy"))] = ("module",)
+    loads: Annotated[tuple[float, ...], ListType(ShareType(0.01, 5.0))] = ()  # else each scenario's own
+    reference: Annotated[str, TextType("the name of a policy")] = "module"  # what the others are held to
+    scenario: Annotated[dict[str, Scenario], NamedBlocks(Scenario)] = {}
 
     def faults(self) -> list[tuple[str, str]]:
         """What does not go together."""
@@ -39,4 +39,4 @@
 class ExperimentFile(msgspec.Struct, frozen=True):
     """A file with one experiment."""
 
-    experiment: Annotated[Experiment, Inner(Experiment)] = Experiment(scenario={"calm": Scenario()})
+    experiment: Annotated[Experiment, NestedBlock(Experiment)] = Experiment(scenario={"calm": Scenario()})
--- a/willownotch/lab/load/command.py
+++ b/willownotch/lab/load/command.py
@@ -13,7 +13,7 @@
 from willownotch.lab.load.record import report, table
 from willownotch.lab.load.settings import LoadFile, LoadSettings
 from willownotch.settings.reader import SettingsError, load
-from willownotch.settings.types import AddressWord, WordError
+from willownotch.settings.types import AddressType, InvalidValueError
 
 FINE, FAULTY, NOT_KEPT = 0, 2, 3  # exit codes; the last: the generator could not keep its own schedule
 
@@ -42,10 +42,10 @@
 ) -> int:
     """Carry the command out; its exit code."""
     try:
-        host, port = AddressWord().read(target)
-    except WordError:
+        host, port = AddressType().read(target)
+    except InvalidValueError:
         print(
-            f"willownotch: the target cannot be {target!r}, allowed: {AddressWord().allowed()}",
+            f"willownotch: the target cannot be {target!r}, allowed: {AddressType().allowed()}",
             file=sys.stderr,
         )
         return FAULTY
--- a/willownotch/lab/load/settings.py
+++ b/willownotch/lab/load/settings.py
@@ -9,19 +9,19 @@
 import msgspec
 
 from willownotch.settings.types import (
-    ChoiceWord,
-    CountWord,
-    Inner,
-    Named,
-    NumberWord,
-    ShareWord,
-    SizeWord,
-    SpanWord,
+    ChoiceType,
+    CountType,
+    NestedBlock,
+    NamedBlocks,
+    NumberType,
+    ShareType,
+    SizeType,
+    DurationType,
 )
 
 MS, HOUR, DAY = timedelta(milliseconds=1), timedelta(hours=1), timedelta(days=1)
-Span = Annotated[timedelta, SpanWord(timedelta(0), DAY)]
-Part = Annotated[float, ShareWord(0.0, 1.0)]
+Span = Annotated[timedelta, DurationType(timedelta(0), DAY)]
+Part = Annotated[float, ShareType(0.0, 1.0)]
 
 
 class Arrivals(Enum):
@@ -35,34 +35,34 @@
     """For a while the rate is so many times the usual."""
 
     at: Span = timedelta(0)
-    for_: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=5)
-    times: Annotated[float, NumberWord(0.0, 1000.0)] = 2.0
+    for_: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=5)
+    times: Annotated[float, NumberType(0.0, 1000.0)] = 2.0
 
 
 class Ramp(msgspec.Struct, frozen=True):
     """The rate goes evenly from one multiple to another, and stays there."""
 
     at: Span = timedelta(0)
-    for_: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=30)
-    from_: Annotated[float, NumberWord(0.0, 1000.0)] = 0.0
-    to: Annotated[float, NumberWord(0.0, 1000.0)] = 1.0
+    for_: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=30)
+    from_: Annotated[float, NumberType(0.0, 1000.0)] = 0.0
+    to: Annotated[float, NumberType(0.0, 1000.0)] = 1.0
 
 
 class Clump(msgspec.Struct, frozen=True):
     """A share of all messages comes in clumps, each for one destination."""
 
     share: Part = 0.1
-    size: Annotated[int, CountWord(2, 100_000)] = 10
-    over: Annotated[timedelta, SpanWord(timedelta(0), HOUR)] = timedelta(milliseconds=200)
+    size: Annotated[int, CountType(2, 100_000)] = 10
+    over: Annotated[timedelta, DurationType(timedelta(0), HOUR)] = timedelta(milliseconds=200)
 
 
 class LoadClass(msgspec.Struct, frozen=True):
     """A class of message."""
 
     share: Part | None = None  # else evenly what the others leave
-    time: Annotated[timedelta, SpanWord(MS, HOUR)] = timedelta(seconds=16)  # its time left at hand-in
-    size: Annotated[int, SizeWord(0, 64 * 1024)] = 512
-    keys: Annotated[int, CountWord(0, 10**7)] = 0  # keys that its messages are spread over; 0 for none
+    time: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(seconds=16)  # its time left at hand-in
+    size: Annotated[int, SizeType(0, 64 * 1024)] = 512
+    keys: Annotated[int, CountType(0, 10**7)] = 0  # keys that its messages are spread over; 0 for none
     hot_key: Part = 0.0  # share of them that have one and the same key
 
 
@@ -75,23 +75,23 @@
 class LoadSettings(msgspec.Struct, frozen=True):
     """All that a plan is drawn from."""
 
-    duration: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=60)
-    rate: Annotated[float, NumberWord(0.0, 1e6)] = 30.0  # messages a second
-    arrivals: Annotated[Arrivals, ChoiceWord(Arrivals)] = Arrivals.POISSON
-    seed: Annotated[int, CountWord()] = 1
-    first_destination: Annotated[int, CountWord()] = 0
-    destinations: Annotated[int, CountWord(1, 10**6)] = 1
-    connections: Annotated[int, CountWord(1, 60_000)] = 256  # to the target, of all workers together
-    patience: Annotated[timedelta, SpanWord(MS, HOUR)] = timedelta(seconds=30)  # for an answer
-    retries: Annotated[int, CountWord(0, 100)] = 0  # times that a message turned away comes again
-    retry_wait: Annotated[timedelta, SpanWord(MS, HOUR)] = timedelta(milliseconds=500)  # where none is told
-    late_most: Annotated[timedelta, SpanWord(MS, HOUR)] = timedelta(milliseconds=5)  # p99 of own lateness
-    jump: Annotated[dict[str, Jump], Named(Jump)] = {}
-    ramp: Annotated[dict[str, Ramp], Named(Ramp)] = {}
-    clump: Annotated[dict[str, Clump], Named(Clump)] = {}
-    class_: Annotated[dict[str, LoadClass], Named(LoadClass)] = {}
-    destination: Annotated[dict[str, Shared], Named(Shared)] = {}
-    tenant: Annotated[dict[str, Shared], Named(Shared)] = {}
+    duration: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=60)
+    rate: Annotated[float, NumberType(0.0, 1e6)] = 30.0  # messages a second
+    arrivals: Annotated[Arrivals, ChoiceType(Arrivals)] = Arrivals.POISSON
+    seed: Annotated[int, CountType()] = 1
+    first_destination: Annotated[int, CountType()] = 0
+    destinations: Annotated[int, CountType(1, 10**6)] = 1
+    connections: Annotated[int, CountType(1, 60_000)] = 256  # to the target, of all workers together
+    patience: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(seconds=30)  # for an answer
+    retries: Annotated[int, CountType(0, 100)] = 0  # times that a message turned away comes again
+    retry_wait: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(milliseconds=500)  # where none is told
+    late_most: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(milliseconds=5)  # p99 of own lateness
+    jump: Annotated[dict[str, Jump], NamedBlocks(Jump)] = {}
+    ramp: Annotated[dict[str, Ramp], NamedBlocks(Ramp)] = {}
+    clump: Annotated[dict[str, Clump], NamedBlocks(Clump)] = {}
+    class_: Annotated[dict[str, LoadClass], NamedBlocks(LoadClass)] = {}
+    destination: Annotated[dict[str, Shared], NamedBlocks(Shared)] = {}
+    tenant: Annotated[dict[str, Shared], NamedBlocks(Shared)] = {}
 
     def faults(self) -> list[tuple[str, str]]:
         """What does not go together."""
@@ -112,4 +112,4 @@
 class LoadFile(msgspec.Struct, frozen=True):
     """A file for the generator holds the one block."""
 
-    load: Annotated[LoadSettings, Inner(LoadSettings)] = LoadSettings()
+    load: Annotated[LoadSettings, NestedBlock(LoadSettings)] = LoadSettings()
--- a/willownotch/lab/model/scenario.py
+++ b/willownotch/lab/model/scenario.py
@@ -11,20 +11,20 @@
 from willownotch.interface import Idempotency
 from willownotch.lab.load.settings import Clump, Jump, LoadClass, LoadSettings, Ramp, Shared
 from willownotch.settings.types import (
-    ChoiceWord,
-    CountWord,
+    ChoiceType,
+    CountType,
     Flag,
-    Inner,
-    Named,
-    NumberWord,
-    ShareWord,
-    SpanWord,
+    NestedBlock,
+    NamedBlocks,
+    NumberType,
+    ShareType,
+    DurationType,
     YesNo,
 )
 
 MS, DAY = timedelta(milliseconds=1), timedelta(days=1)
-Span = Annotated[timedelta, SpanWord(timedelta(0), DAY)]
-Part = Annotated[float, ShareWord(0.0, 1.0)]
+Span = Annotated[timedelta, DurationType(timedelta(0), DAY)]
+Part = Annotated[float, ShareType(0.0, 1.0)]
 
 
 class Trouble(Enum):
@@ -46,11 +46,11 @@
 class TroubleBlock(msgspec.Struct, frozen=True):
     """One trouble. Which partner systems it strikes is drawn: as many as carry `share` of the traffic."""
 
-    kind: Annotated[Trouble, ChoiceWord(Trouble)] = Trouble.SILENCE
+    kind: Annotated[Trouble, ChoiceType(Trouble)] = Trouble.SILENCE
     at: Span = timedelta(seconds=15)
-    for_: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=10)
+    for_: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=10)
     share: Part = 0.25
-    times: Annotated[float, NumberWord(0.01, 1000.0)] = 8.0
+    times: Annotated[float, NumberType(0.01, 1000.0)] = 8.0
     of_kind: YesNo = Flag.NO  # whether those struck are all of one kind
 
 
@@ -58,65 +58,65 @@
     """A kind of partner system. Rates and capacities are multiples of what it gets at full load."""
 
     share: Part = 0.5  # of all partner systems
-    size: Annotated[float, NumberWord(0.01, 1000.0)] = 1.0  # of the traffic that one gets, beside other kinds
+    size: Annotated[float, NumberType(0.01, 1000.0)] = 1.0  # of the traffic that one gets, beside other kinds
     limit: YesNo = Flag.NO  # whether it has a rate limit at all
-    limit_low: Annotated[float, NumberWord(0.01, 1000.0)] = 1.0
-    limit_high: Annotated[float, NumberWord(0.01, 1000.0)] = 1.7
-    limit_least: Annotated[float, NumberWord(0.01, 1e6)] = 2.5  # calls a second
+    limit_low: Annotated[float, NumberType(0.01, 1000.0)] = 1.0
+    limit_high: Annotated[float, NumberType(0.01, 1000.0)] = 1.7
+    limit_least: Annotated[float, NumberType(0.01, 1e6)] = 2.5  # calls a second
     refused_count: YesNo = Flag.NO  # whether calls that are turned away use up the limit, too
     tells_wait: YesNo = Flag.NO  # whether an answer that turns a call away says how long to wait
-    room_low: Annotated[float, NumberWord(0.01, 1000.0)] = 1.0  # capacity
-    room_high: Annotated[float, NumberWord(0.01, 1000.0)] = 1.8
+    room_low: Annotated[float, NumberType(0.01, 1000.0)] = 1.0  # capacity
+    room_high: Annotated[float, NumberType(0.01, 1000.0)] = 1.8
 
 
 class ModelClass(msgspec.Struct, frozen=True):
     """A class of message: the module's view and the model's."""
 
     share: Part = 0.5
-    worth: Annotated[float, NumberWord()] = 1.0
-    wanted: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=2.5)
-    deadline: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=16)
+    worth: Annotated[float, NumberType()] = 1.0
+    wanted: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=2.5)
+    deadline: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=16)
     late_share: Part = 0.3  # of its worth, at the deadline
-    repeat: Annotated[Idempotency, ChoiceWord(Idempotency)] = Idempotency.SAFE
+    repeat: Annotated[Idempotency, ChoiceType(Idempotency)] = Idempotency.SAFE
     memory: Span = timedelta(0)  # how long a repeat is recognised
     in_order: YesNo = Flag.NO
-    keys: Annotated[int, CountWord(0, 10**6)] = 0
-    takes_low: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(milliseconds=180)
-    takes_high: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(milliseconds=310)
+    keys: Annotated[int, CountType(0, 10**6)] = 0
+    takes_low: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(milliseconds=180)
+    takes_high: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(milliseconds=310)
 
 
 class Scenario(msgspec.Struct, frozen=True):
     """All that a story is made of. Defaults are a busy day of the port."""
 
-    duration: Annotated[timedelta, SpanWord(timedelta(seconds=1), DAY)] = timedelta(seconds=55)
-    senders: Annotated[int, CountWord(1, 10_000)] = 3
-    partners: Annotated[int, CountWord(1, 100_000)] = 16
-    rate: Annotated[float, NumberWord(0.01, 1e6)] = 30.0  # messages a second, of all senders
-    load: Annotated[float, ShareWord(0.01, 5.0)] = 0.8  # of full load, for which partner systems are laid out
-    skew: Annotated[float, NumberWord(0.0, 5.0)] = 0.8  # of traffic over partner systems, by rank (Zipf)
-    slots_low: Annotated[float, NumberWord(0.1, 100.0)] = 1.9  # x the calls out at full load
-    slots_high: Annotated[float, NumberWord(0.1, 100.0)] = 2.4
-    holding: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=9)  # of full load, that fits
+    duration: Annotated[timedelta, DurationType(timedelta(seconds=1), DAY)] = timedelta(seconds=55)
+    senders: Annotated[int, CountType(1, 10_000)] = 3
+    partners: Annotated[int, CountType(1, 100_000)] = 16
+    rate: Annotated[float, NumberType(0.01, 1e6)] = 30.0  # messages a second, of all senders
+    load: Annotated[float, ShareType(0.01, 5.0)] = 0.8  # of full load, for which partner systems are laid out
+    skew: Annotated[float, NumberType(0.0, 5.0)] = 0.8  # of traffic over partner systems, by rank (Zipf)
+    slots_low: Annotated[float, NumberType(0.1, 100.0)] = 1.9  # x the calls out at full load
+    slots_high: Annotated[float, NumberType(0.1, 100.0)] = 2.4
+    holding: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=9)  # of full load, that fits
     list_low: Span = timedelta(seconds=0.8)  # delay of the list's news
     list_high: Span = timedelta(seconds=3)
     report_low: Span = timedelta(milliseconds=170)  # between two refreshes of a told limit
     report_high: Span = timedelta(milliseconds=940)
-    way: Annotated[timedelta, SpanWord(timedelta(0), timedelta(seconds=10))] = timedelta(milliseconds=2)
-    round: Annotated[timedelta, SpanWord(MS, timedelta(seconds=1))] = timedelta(milliseconds=10)
+    way: Annotated[timedelta, DurationType(timedelta(0), timedelta(seconds=10))] = timedelta(milliseconds=2)
+    round: Annotated[timedelta, DurationType(MS, timedelta(seconds=1))] = timedelta(milliseconds=10)
     errors: Part = 0.002  # share of calls that fail of themselves
-    retries: Annotated[int, CountWord(0, 100)] = 3  # times that a client hands in again after a refusal
-    retry_wait: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(milliseconds=700)
+    retries: Annotated[int, CountType(0, 100)] = 3  # times that a client hands in again after a refusal
+    retry_wait: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(milliseconds=700)
     come_back_most: Span = timedelta(seconds=2)
-    keepalive: Annotated[timedelta, SpanWord(MS, DAY)] = timedelta(seconds=5)
-    attempts: Annotated[int, CountWord(1, 1000)] = 12
+    keepalive: Annotated[timedelta, DurationType(MS, DAY)] = timedelta(seconds=5)
+    attempts: Annotated[int, CountType(1, 1000)] = 12
     over_share_worth: Part = 0.05
-    jump: Annotated[dict[str, Jump], Named(Jump)] = {}
-    ramp: Annotated[dict[str, Ramp], Named(Ramp)] = {}
-    clump: Annotated[dict[str, Clump], Named(Clump)] = {}
-    trouble: Annotated[dict[str, TroubleBlock], Named(TroubleBlock)] = {}
-    kind: Annotated[dict[str, Partners], Named(Partners)] = {}
-    class_: Annotated[dict[str, ModelClass], Named(ModelClass)] = {}
-    tenant: Annotated[dict[str, Shared], Named(Shared)] = {}
+    jump: Annotated[dict[str, Jump], NamedBlocks(Jump)] = {}
+    ramp: Annotated[dict[str, Ramp], NamedBlocks(Ramp)] = {}
+    clump: Annotated[dict[str, Clump], NamedBlocks(Clump)] = {}
+    trouble: Annotated[dict[str, TroubleBlock], NamedBlocks(TroubleBlock)] = {}
+    kind: Annotated[dict[str, Partners], NamedBlocks(Partners)] = {}
+    class_: Annotated[dict[str, ModelClass], NamedBlocks(ModelClass)] = {}
+    tenant: Annotated[dict[str, Shared], NamedBlocks(Shared)] = {}
 
     def kinds(self) -> dict[str, Partners]:
         """Those of the file, or those of the port."""
@@ -192,4 +192,4 @@
 class ScenarioFile(msgspec.Struct, frozen=True):
     """A file with one scenario."""
 
-    scenario: Annotated[Scenario, Inner(Scenario)] = Scenario()
+    scenario: Annotated[Scenario, NestedBlock(Scenario)] = Scenario()
--- a/willownotch/lease/settings.py
+++ b/willownotch/lease/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import CountWord, ListWord, Named, SpanWord, TextWord
+from willownotch.settings.types import CountType, ListType, NamedBlocks, DurationType, TextType
 
 MOST = timedelta(minutes=10)
 
@@ -15,19 +15,19 @@
 class DutySettings(msgspec.Struct, frozen=True):
     """One duty."""
 
-    canary: Annotated[timedelta, SpanWord(timedelta(milliseconds=10), MOST)] | None = None  # between acts
+    canary: Annotated[timedelta, DurationType(timedelta(milliseconds=10), MOST)] | None = None  # between acts
     # that do nothing but show that the duty is held
 
 
 class LeaseSettings(msgspec.Struct, frozen=True):
     """Who grants duties, which there are, and for how long one is granted."""
 
-    electors: Annotated[tuple[str, ...], ListWord(TextWord("a sender's name"))] = ()  # the same everywhere
-    span: Annotated[timedelta, SpanWord(timedelta(milliseconds=200), MOST)] = timedelta(seconds=3)
-    candidates: Annotated[int, CountWord(1, 64)] = 3  # that ask for a duty, the best placed of those there
-    duty: Annotated[dict[str, DutySettings], Named(DutySettings)] = {}
+    electors: Annotated[tuple[str, ...], ListType(TextType("a sender's name"))] = ()  # the same everywhere
+    span: Annotated[timedelta, DurationType(timedelta(milliseconds=200), MOST)] = timedelta(seconds=3)
+    candidates: Annotated[int, CountType(1, 64)] = 3  # that ask for a duty, the best placed of those there
+    duty: Annotated[dict[str, DutySettings], NamedBlocks(DutySettings)] = {}
 
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Whether there is anything to hold."""
         return bool(self.electors) and bool(self.duty)
 
--- a/willownotch/mesh.py
+++ b/willownotch/mesh.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from willownotch.lease.service import Leases
     from willownotch.replica.service import Keeper
-    from willownotch.shared.service import Shared, SharedView
+    from willownotch.shared.service import SharedState, SharedView
 
 LINGER_S = 0.6  # that a leaving instance still answers for, so that the others have its last counts
 UID_BITS = 48
@@ -77,23 +77,23 @@
         self.blocks, self.say, self._space = blocks, say, space
         name = settings.name or name
         keys = load_keys(settings.keys)
-        self.sock, listener = bind(settings.listen, blocks.replica.on())
+        self.sock, listener = bind(settings.listen, blocks.replica.enabled())
         try:
             uid = secrets.randbits(UID_BITS)
             address = settings.advertise or self.sock.getsockname()
             membership = Membership(name, address, uid, settings, Random(secrets.randbits(64)))
             self.counting: Counting | None = None
             layers: tuple[Layer, ...] = ()
-            self.shared: Shared | None = None
-            if blocks.shared.on():
-                from willownotch.shared.service import Shared
+            self.shared: SharedState | None = None
+            if blocks.shared.enabled():
+                from willownotch.shared.service import SharedState
 
-                self.shared = Shared(
+                self.shared = SharedState(
                     blocks.shared, name, uid, instances, time.monotonic(), Random(secrets.randbits(64))
                 )
                 layers += (self.shared.layer,)
             self.leases: Leases | None = None
-            if blocks.lease.on():
+            if blocks.lease.enabled():
                 from willownotch.lease.service import Leases
 
                 self.leases = Leases(
@@ -191,17 +191,17 @@
                 for at in range(0, len(books), SWEEP_MOST):
                     self.leases.act(SWEEP, b"forget " + " ".join(books[at : at + SWEEP_MOST]).encode())
 
-    def answer_on(self, server: Server) -> None:
+    def register_handlers(self, server: Server) -> None:
         """Register the questions that it answers."""
-        server.answers["peers"] = lambda about: self.edge.view()
+        server.handlers["peers"] = lambda about: self.edge.view()
         if self.counting is not None:
-            server.answers["usage"] = self.counting.answer
+            server.handlers["usage"] = self.counting.answer
         if self.leases is not None:
-            server.answers["leases"] = lambda about: self.leases.view()
+            server.handlers["leases"] = lambda about: self.leases.view()
         if self.shared is not None:
-            server.answers["shared"] = lambda about: self._shared_view()
+            server.handlers["shared"] = lambda about: self._shared_view()
         if self.keeper is not None:
-            server.answers["replica"] = lambda about: self.keeper.view()
+            server.handlers["replica"] = lambda about: self.keeper.view()
 
     def _shared_view(self) -> SharedView:
         with self.edge.lock:
@@ -238,13 +238,13 @@
             if getattr(old.peers, word) != getattr(fresh.peers, word)
         ]
         later += ["usage count"] * (bool(old.usage.count) != bool(fresh.usage.count))
-        later += ["lease"] * (old.lease.on() != fresh.lease.on())
+        later += ["lease"] * (old.lease.enabled() != fresh.lease.enabled())
         later += [
             f"shared {word}"
             for word in ("budgets", "judgements", "instances")
             if getattr(old.shared, word) != getattr(fresh.shared, word)
         ]
-        later += ["replica"] * (old.replica.on() != fresh.replica.on())
+        later += ["replica"] * (old.replica.enabled() != fresh.replica.enabled())
         return ", ".join(later)
 
     def stop(self) -> None:
--- a/willownotch/net/events.py
+++ b/willownotch/net/events.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from willownotch.replica.core import Expired, Lost, Won
-    from willownotch.shared.service import Findings, Parts
+    from willownotch.shared.service import EndpointFindings, BudgetParts
 
 
 class Verdict(Enum):
@@ -109,7 +109,7 @@
 class SharedStateUpdate:
     """What other senders share: parts of budgets, or what they have found of endpoints."""
 
-    found: Parts | Findings
+    found: BudgetParts | EndpointFindings
 
 
 @dataclass(slots=True)
--- a/willownotch/net/owner.py
+++ b/willownotch/net/owner.py
@@ -64,7 +64,7 @@
 
 if TYPE_CHECKING:
     from willownotch.replica.service import Keeper
-    from willownotch.shared.service import Findings, Parts, Shared
+    from willownotch.shared.service import EndpointFindings, BudgetParts, SharedState
 
 FIRST_NEWS = timedelta(milliseconds=300)  # recovered messages wait so long for the watch's first word
 KILL_AFTER = timedelta(milliseconds=3500)  # SIGKILL comes no sooner after SIGTERM, with some margin
@@ -135,8 +135,8 @@
         self.forward: Callable[[RelayEnded | Withdraw], None] = lambda item: None  # to who has it all now
         self.list_index = config.known.index if config.known is not None else 0
         self.retuned: Callable[[Config], None] = lambda config: None  # has the sockets' sides follow
-        self.shared: Shared | None = None  # where budgets and judgements are shared
-        self._parts: Parts | None = None  # of budgets, as last told
+        self.shared: SharedState | None = None  # where budgets and judgements are shared
+        self._parts: BudgetParts | None = None  # of budgets, as last told
         self.custody: Keeper | None = None  # where messages are copied to other senders
         self.slow_starts: SlowStartFile | None = None  # where they outlast the process
         self.stopped_at: datetime | None = None
@@ -494,7 +494,7 @@
             self.log.say("stop", "SIGTERM: taking and delivering on until killed")
             events.append(api.Stopping(seconds(KILL_AFTER)))
 
-    def _hear(self, found: Parts | Findings, now: datetime, events: list[api.Event]) -> None:
+    def _hear(self, found: BudgetParts | EndpointFindings, now: datetime, events: list[api.Event]) -> None:
         """What other senders share, as events for the module."""
         if hasattr(found, "parts"):
             self._parts = found
@@ -556,7 +556,7 @@
             self.bodies.discard(message)
             return
         if self.shared is not None:
-            self.shared.wanted(message.tenant)
+            self.shared.record_demand(message.tenant)
         known = self._outstanding.get(message.ref)
         if known is not None and not known.over:
             self._hand_in_again(item, known)
--- a/willownotch/settings/reader.py
+++ b/willownotch/settings/reader.py
@@ -14,7 +14,7 @@
 import lark
 import msgspec
 
-from willownotch.settings.types import Inner, ListWord, Named, WordError, words
+from willownotch.settings.types import NestedBlock, ListType, NamedBlocks, InvalidValueError, block_settings
 
 GRAMMAR = r"""
 start: (opening | closing | setting)?
@@ -130,16 +130,16 @@
 
     def fill(self, block: Block, kind: type[msgspec.Struct]) -> Any:
         """A block's values, typed; what is missing has its default."""
-        allowed, given, places = words(kind), {}, {}
+        allowed, given, places = block_settings(kind), {}, {}
         for setting in block.settings:
             name, reader = self._known(setting, allowed, places)
             if name is None:
                 continue
-            if isinstance(reader, Inner | Named):
+            if isinstance(reader, NestedBlock | NamedBlocks):
                 self.fault(
                     setting.line, setting.column, f"'{setting.word}' is a block, wanted: '{{' after it"
                 )
-            elif isinstance(reader, ListWord) and setting.values:
+            elif isinstance(reader, ListType) and setting.values:
                 given[name] = tuple(self._value(setting, reader.of, place) for place in setting.values)
             elif len(setting.values) != 1:
                 self.fault(
@@ -163,7 +163,7 @@
         column, text = place
         try:
             return reader.read(text)
-        except WordError:
+        except InvalidValueError:
             self.fault(
                 setting.line, column, f"'{setting.word}' cannot be {text!r}, allowed: {reader.allowed()}"
             )
@@ -172,7 +172,7 @@
     def _inner(self, inner: Block, allowed: dict, places: dict, given: dict[str, Any]) -> None:
         head = inner.head
         named = allowed.get(head.word, (None, None))[1]
-        if isinstance(named, Named):
+        if isinstance(named, NamedBlocks):
             name = allowed[head.word][0]
             if len(head.values) != 1:
                 self.fault(head.line, head.column, f"'{head.word}' wants one name before '{{'")
@@ -189,7 +189,7 @@
         name, reader = self._known(head, allowed, places)
         if name is None:
             return
-        if not isinstance(reader, Inner):
+        if not isinstance(reader, NestedBlock):
             self.fault(head.line, head.column, f"'{head.word}' is no block, allowed: {reader.allowed()}")
         elif head.values:
             self.fault(head.line, head.values[0][0], f"block '{head.word}' takes no name, allowed: '{{'")
--- a/willownotch/settings/types.py
+++ b/willownotch/settings/types.py
@@ -20,7 +20,7 @@
 NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)([A-Za-z%]*)\Z")
 
 
-class WordError(ValueError):
+class InvalidValueError(ValueError):
     """A value cannot be read; the text says what is allowed."""
 
 
@@ -28,11 +28,11 @@
     """A number and its unit."""
     found = NUMBER.match(text)
     if not found:
-        raise WordError
+        raise InvalidValueError
     return float(found[1]), found[2].lower()
 
 
-def show_size(size: float) -> str:
+def format_size(size: float) -> str:
     """A size as a person would write it."""
     for unit, factor in (("GB", 10**9), ("MB", 10**6), ("KB", 10**3)):
         if size >= factor and size % factor == 0:
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class SizeWord:
+class SizeType:
     """Bytes, with a unit: `512`, `64KB` (1,000), `64KiB` (1,024)."""
 
     least: int = 0
@@ -49,19 +49,19 @@
 
     def allowed(self) -> str:
         """In words."""
-        top = f" and {show_size(self.most)} at most" if self.most < inf else ""
-        return f"a size such as 64KB, 4MB or 1GiB, {show_size(self.least)} at least{top}"
+        top = f" and {format_size(self.most)} at most" if self.most < inf else ""
+        return f"a size such as 64KB, 4MB or 1GiB, {format_size(self.least)} at least{top}"
 
     def read(self, text: str) -> int:
         """Whole bytes."""
         number, unit = split(text)
         if unit not in SIZES or not self.least <= number * SIZES[unit] <= self.most:
-            raise WordError
+            raise InvalidValueError
         return int(number * SIZES[unit])
 
 
 @dataclass(frozen=True)
-class SpanWord:
+class DurationType:
     """A time, always with its unit: `150ms`, `2s`, `5min`."""
 
     least: timedelta = timedelta(0)
@@ -76,15 +76,15 @@
         """A span."""
         number, unit = split(text)
         if unit not in SPANS:
-            raise WordError
+            raise InvalidValueError
         span = timedelta(seconds=number * SPANS[unit])
         if not self.least <= span <= self.most:
-            raise WordError
+            raise InvalidValueError
         return span
 
 
 @dataclass(frozen=True)
-class ShareWord:
+class ShareType:
     """A share of a whole: `75%`."""
 
     least: float = 0.0
@@ -98,12 +98,12 @@
         """From 0 to 1."""
         number, unit = split(text)
         if unit != "%" or not self.least <= number / 100 <= self.most:
-            raise WordError
+            raise InvalidValueError
         return number / 100
 
 
 @dataclass(frozen=True)
-class CountWord:
+class CountType:
     """A whole number."""
 
     least: int = 0
@@ -116,12 +116,12 @@
     def read(self, text: str) -> int:
         """The number."""
         if not re.fullmatch(r"[0-9]{1,10}", text) or not self.least <= int(text) <= self.most:
-            raise WordError
+            raise InvalidValueError
         return int(text)
 
 
 @dataclass(frozen=True)
-class NumberWord:
+class NumberType:
     """Any number that is not below zero: `2.3`."""
 
     least: float = 0.0
@@ -135,12 +135,12 @@
         """The number."""
         number, unit = split(text)
         if unit or not self.least <= number <= self.most:
-            raise WordError
+            raise InvalidValueError
         return number
 
 
 @dataclass(frozen=True)
-class ChoiceWord:
+class ChoiceType:
     """One of the values of an enumeration."""
 
     kind: type[Enum]
@@ -154,11 +154,11 @@
         try:
             return self.kind(text)
         except ValueError:
-            raise WordError from None
+            raise InvalidValueError from None
 
 
 @dataclass(frozen=True)
-class TextWord:
+class TextType:
     """Any text, in quotes if it has blanks."""
 
     what: str = "a text"
@@ -170,12 +170,12 @@
     def read(self, text: str) -> str:
         """As it stands."""
         if not text:
-            raise WordError
+            raise InvalidValueError
         return text
 
 
 @dataclass(frozen=True)
-class AddressWord:
+class AddressType:
     """Where a socket is: `127.0.0.1:7946`."""
 
     def allowed(self) -> str:
@@ -187,14 +187,14 @@
         host, _, port = text.rpartition(":")
         parts = host.split(".")
         if len(parts) != 4 or not all(re.fullmatch(r"[0-9]{1,3}", p) and int(p) < 256 for p in parts):
-            raise WordError
+            raise InvalidValueError
         if not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65535:
-            raise WordError
+            raise InvalidValueError
         return host, int(port)
 
 
 @dataclass(frozen=True)
-class ListWord:
+class ListType:
     """One or more values of one kind in a line."""
 
     of: Any
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True)
-class Named:
+class NamedBlocks:
     """Blocks with a name of their own, such as `class slot-status { ... }`: a dict of these structs by
     name."""
 
@@ -224,20 +224,20 @@
 
 
 @dataclass(frozen=True)
-class Inner:
+class NestedBlock:
     """A block of its own, such as `bodies { ... }`, which stands once."""
 
     block: type[msgspec.Struct]
 
 
-Size = Annotated[int, SizeWord()]
-Span = Annotated[timedelta, SpanWord()]
-Share = Annotated[float, ShareWord()]
-Count = Annotated[int, CountWord()]
-YesNo = Annotated[Flag, ChoiceWord(Flag)]
+Size = Annotated[int, SizeType()]
+Span = Annotated[timedelta, DurationType()]
+Share = Annotated[float, ShareType()]
+Count = Annotated[int, CountType()]
+YesNo = Annotated[Flag, ChoiceType(Flag)]
 
 
-def words(block: type[msgspec.Struct]) -> dict[str, tuple[str, Any]]:
+def block_settings(block: type[msgspec.Struct]) -> dict[str, tuple[str, Any]]:
     """What may stand in a block: setting's word to field name and reader."""
     found = {}
     for name, hint in get_type_hints(block, include_extras=True).items():
--- a/willownotch/shared/budgets.py
+++ b/willownotch/shared/budgets.py
@@ -16,12 +16,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
-WHOLE = 1_000_000
+WHOLE_PPM = 1_000_000
 DRIFT = 0.05  # how much two clocks may differ in speed
 ROOM = 1.25  # x the demand: what is kept before any of it is lent, and what is asked for
 DEMAND_S = 2.0  # that demand is averaged over
 ASK_MOST = 24  # budgets in one message
-LEAST = WHOLE // 1000  # a loan that is not worth the bytes
+LEAST = WHOLE_PPM // 1000  # a loan that is not worth the bytes
 TENANTS_MOST = 20_000
 
 
@@ -95,7 +95,7 @@
 
     def own(self) -> int:
         """What this instance owns of each budget."""
-        return WHOLE // self.instances
+        return WHOLE_PPM // self.instances
 
     def part(self, name: str, now: float, lead: float = 0.0) -> int:
         """What it may spend of a budget now; with a lead, only what it may still spend so much later."""
@@ -127,7 +127,7 @@
             else:
                 budget.per_s = per_s
 
-    def wanted(self, now: float, counts: Iterable[tuple[str, int]]) -> None:
+    def record_demand(self, now: float, counts: Iterable[tuple[str, int]]) -> None:
         """So many messages have asked for their budgets, let through or not."""
         for name, count in counts:
             budget = self.budgets.get(name)
@@ -149,7 +149,7 @@
     def _need(self, budget: Budget, now: float) -> int:
         """What it could use of a budget."""
         self._fade(budget, now)
-        return min(WHOLE, int(ROOM * budget.demand / budget.per_s * WHOLE)) if budget.per_s > 0 else 0
+        return min(WHOLE_PPM, int(ROOM * budget.demand / budget.per_s * WHOLE_PPM)) if budget.per_s > 0 else 0
 
     def ask(self, now: float, others: list[str]) -> dict[str, list[Wish]]:
         """Whom to ask for what: loans still wanted are renewed, and more is asked of a few at random."""
@@ -161,10 +161,10 @@
             need, have = self._need(budget, now), self._left(budget, now)
             missing = need - have
             for loan in sorted(budget.borrowed.values(), key=lambda loan: -loan.amount):
-                wanted = min(loan.amount, max(0, missing))
-                missing -= wanted
-                if wanted >= LEAST and loan.until - now < self.span / 2:
-                    asks.setdefault(loan.lender, []).append(Wish(budget.name, wanted, loan.number))
+                record_demand = min(loan.amount, max(0, missing))
+                missing -= record_demand
+                if record_demand >= LEAST and loan.until - now < self.span / 2:
+                    asks.setdefault(loan.lender, []).append(Wish(budget.name, record_demand, loan.number))
             if missing >= LEAST:
                 free = [name for name in others if budget.spared.get(name, 0.0) <= now]
                 for name in self.random.sample(free, min(2, len(free))):
--- a/willownotch/shared/layer.py
+++ b/willownotch/shared/layer.py
@@ -40,7 +40,7 @@
     rows: tuple[Row, ...]
 
 
-class Sharing:
+class SharingLayer:
     """The layer. Either half may be off (`None`)."""
 
     messages = (Ask, Lend, Found)
--- a/willownotch/shared/service.py
+++ b/willownotch/shared/service.py
@@ -15,7 +15,7 @@
 
 from willownotch.shared.budgets import Budgets
 from willownotch.shared.judgements import Judgements
-from willownotch.shared.layer import Sharing
+from willownotch.shared.layer import SharingLayer
 from willownotch.shared.settings import SharedSettings
 
 LEAD_S = 0.15  # parts are told as they will be so much later, so that none is spent beyond its end
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class BudgetParts:
     """This sender's parts of budgets, and what is left of them should no more be heard."""
 
     parts: dict[str, float]
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Findings:
+class EndpointFindings:
     """What others have found of endpoints, as it changed: works or not, and limits."""
 
     works: tuple[tuple[str, bool], ...]
@@ -84,7 +84,7 @@
     left_out: int
 
 
-class Shared:
+class SharedState:
     """Both halves for one sender. `lock` is the membership's, set before it is started."""
 
     def __init__(
@@ -109,11 +109,11 @@
             if settings.judgements
             else None
         )
-        self.layer = Sharing(
+        self.layer = SharingLayer(
             name, lambda: self.settings.exchange.total_seconds(), random, self.budgets, self.judgements, now
         )
         self.endpoints: Callable[[], dict[str, int]] = dict  # those that are listed, with their destinations
-        self.tell: Callable[[Parts | Findings], None] = lambda found: None
+        self.tell: Callable[[BudgetParts | EndpointFindings], None] = lambda found: None
         self._demand: Counter[str] = Counter()
         self._told_at, self._told = -1e9, {}
         self._verdicts: dict[str, bool] = {}
@@ -127,7 +127,7 @@
             if self.budgets is not None:
                 self.budgets.configure(quotas)
 
-    def wanted(self, name: str) -> None:
+    def record_demand(self, name: str) -> None:
         """A message of a tenant has come, whatever becomes of it."""
         self._demand[name] += 1
 
@@ -149,7 +149,7 @@
         """Take what was counted, and tell what has changed."""
         if self.budgets is not None:
             counted, self._demand = self._demand, Counter()
-            self.budgets.wanted(now, counted.items())
+            self.budgets.record_demand(now, counted.items())
             self._tell_parts(now)
         if self.judgements is not None:
             self._tell_findings(now)
@@ -160,7 +160,7 @@
         if less or now - self._told_at >= TELL_S:
             self._told, self._told_at = parts, now
             floor = self.budgets.own() * self.budgets.keep / 1e6
-            self.tell(Parts(parts, floor, frozenset(self.settings.hard), now + STALE_S))
+            self.tell(BudgetParts(parts, floor, frozenset(self.settings.hard), now + STALE_S))
 
     def _tell_findings(self, now: float) -> None:
         listed = self.endpoints()
@@ -183,7 +183,7 @@
         if len(self._limits) > 2 * len(listed) + 64:
             self._limits.clear()
         if works or limits:
-            self.tell(Findings(tuple(works), tuple(limits)))
+            self.tell(EndpointFindings(tuple(works), tuple(limits)))
 
     def reload(self, settings: SharedSettings) -> None:
         """Take other settings; what is on stays so."""
--- a/willownotch/usage/service.py
+++ b/willownotch/usage/service.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from willownotch.channel.server import BadQuestionError
+from willownotch.channel.server import BadRequestError
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
 from willownotch.usage.book import Book
@@ -174,11 +174,11 @@
         """The fleet's usage; `tenant` and `lines` narrow it."""
         unknown = set(about) - {"tenant", "lines"}
         if unknown:
-            raise BadQuestionError(f"unknown word {min(unknown)!r}, allowed: lines, tenant")
+            raise BadRequestError(f"unknown word {min(unknown)!r}, allowed: lines, tenant")
         try:
             most = int(about.get("lines", LINES))
         except ValueError:
-            raise BadQuestionError("'lines' is no whole number") from None
+            raise BadRequestError("'lines' is no whole number") from None
         tenant = tenant_key(about["tenant"]) if "tenant" in about else None
         with self.lock:
             now = time.monotonic()
