--- a/willownotch/net/owner.py
+++ b/willownotch/net/decision_loop.py
@@ -53,7 +53,7 @@
 )
 from willownotch.net.journal import Journal, JournalFullError, JournalUnsureError
 from willownotch.net.log import Log
-from willownotch.net.owner_replication import BACK_OFF, REMEMBERED, ReplicationMixin
+from willownotch.net.decision_loop_replication import BACK_OFF, REMEMBERED, ReplicationMixin
 from willownotch.net.pending import PendingReply
 from willownotch.net.registry import Hosts, Notice
 from willownotch.net.rules import class_of
--- a/willownotch/net/owner_replication.py
+++ b/willownotch/net/decision_loop_replication.py
@@ -18,7 +18,7 @@
 from willownotch.net.endpoint_side import RelayEnded
 
 if TYPE_CHECKING:
-    from willownotch.net.owner import Owed
+    from willownotch.net.decision_loop import Owed
     from willownotch.replica.core import Expired, Lost, Won
 
 BACK_OFF = timedelta(milliseconds=500)  # told with a rejection where the module has no better figure
