--- a/benchmarks/capacity/fleet_roles.py
+++ b/benchmarks/capacity/fleet_roles.py
@@ -258,7 +258,9 @@
     for n in range(senders):
         name = f"i{n}"
         made[name] = Judgements(name, n + 1, 5.0, 2, 0.5, 4096)
-        net.add(name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 1000 + n), None, made[name], 0.0),))
+        net.add(
+            name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 1000 + n), None, made[name], 0.0),)
+        )
     net.acquaint()
     net.run(2.0)
     random, names = Random(seed), sorted(made)
@@ -342,7 +344,9 @@
         name = f"i{n}"
         made[name] = Budgets(name, senders, 0.0, Random(seed * 1000 + n), 3.0, 0.1)
         made[name].configure({f"tenant {t}": quota for t in range(tenants)})
-        net.add(name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 2000 + n), made[name], None, 0.0),))
+        net.add(
+            name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 2000 + n), made[name], None, 0.0),)
+        )
     net.acquaint()
     hot = {f"tenant {t}": random.sample(sorted(made), max(1, senders // 4)) for t in range(tenants)}
     demand: dict[str, list[str]] = {}
--- a/benchmarks/capacity/list_watch.py
+++ b/benchmarks/capacity/list_watch.py
@@ -92,7 +92,9 @@
     gc.collect()
     tracemalloc.start()
     kept = hosts()
-    kept.read(feed(data)[0] if len(data) <= MAX_WATCH_LIST_BYTES else msgspec.json.decode(data, type=ListUpdate))
+    kept.read(
+        feed(data)[0] if len(data) <= MAX_WATCH_LIST_BYTES else msgspec.json.decode(data, type=ListUpdate)
+    )
     found["memory"] = [float(tracemalloc.get_traced_memory()[0])]
     found["peak"] = [float(tracemalloc.get_traced_memory()[1])]
     tracemalloc.stop()
@@ -121,7 +123,12 @@
             "python benchmarks/capacity/list_watch.py",
             [
                 made("bytes", "a whole list", "bytes", note="at a start, and after a watch that broke"),
-                made("parse", "parsing a whole list", "CPU s", note=f"refused above {MAX_WATCH_LIST_BYTES} bytes"),
+                made(
+                    "parse",
+                    "parsing a whole list",
+                    "CPU s",
+                    note=f"refused above {MAX_WATCH_LIST_BYTES} bytes",
+                ),
                 made(
                     "whole", "taking a whole list", "CPU s", budget="stall", note="in one piece, by the owner"
                 ),
--- a/tests/body_store_rig.py
+++ b/tests/body_store_rig.py
@@ -10,7 +10,7 @@
 from willownotch.bodies.settings import BodiesSettings
 from willownotch.files.layer import REAL
 from willownotch.interface import Idempotency, MessageClass
-from willownotch.journal.records import MessageEnded, RelayStarted, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, MessageEnded, RelayStarted
 from willownotch.net.folder import open_folder
 
 CLASSES = (
--- a/tests/custodial.py
+++ b/tests/custodial.py
@@ -7,8 +7,8 @@
 import shutil
 
 import harness
-from meshed import MeshFleet
 from harness import until
+from meshed import MeshFleet
 
 from willownotch.channel.client import ask
 from willownotch.replica.placement import witness_count
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,12 +3,12 @@
 from willownotch.control import Controller
 from willownotch.interface import (
     AttemptEnded,
-    Idempotency,
+    DedupScope,
+    DestinationKind,
     Endpoint,
     EndpointList,
     Fail,
-    DedupScope,
-    DestinationKind,
+    Idempotency,
     Message,
     MessageClass,
     Outcome,
@@ -22,7 +22,9 @@
 SAFE = MessageClass("safe", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE)
 KEYED = MessageClass("keyed", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ALL, 10.0)
 ZONED = MessageClass("zoned", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ZONE, 10.0)
-UNSAFE = MessageClass("unsafe", 4.0, 2.0, 20.0, 0.5, Idempotency.UNSAFE, DedupScope.ALL, 10.0)  # no memory helps it
+UNSAFE = MessageClass(
+    "unsafe", 4.0, 2.0, 20.0, 0.5, Idempotency.UNSAFE, DedupScope.ALL, 10.0
+)  # no memory helps it
 ORDERED = MessageClass("ordered", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE, in_order=True)
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 
--- a/tests/meshed.py
+++ b/tests/meshed.py
@@ -76,7 +76,10 @@
         until(lambda: all(self.taken(n) == number for n in range(len(self.senders))))
 
     def wait_joined(self, patience=harness.PATIENCE):
-        until(lambda: all(self.alive_peers(n) == len(self.senders) - 1 for n in range(len(self.senders))), patience)
+        until(
+            lambda: all(self.alive_peers(n) == len(self.senders) - 1 for n in range(len(self.senders))),
+            patience,
+        )
         return self
 
     def alive_peers(self, n):
--- a/tests/test_bodies_plan.py
+++ b/tests/test_bodies_plan.py
@@ -7,9 +7,9 @@
 from willownotch.bodies import plan
 from willownotch.bodies.plan import (
     Candidate,
+    DeliveryForecast,
     Limits,
     Line,
-    DeliveryForecast,
     SegmentView,
     Step,
     Steps,
@@ -156,7 +156,9 @@
         found = plan.admit(PLANS, LIMITS, held, False, cls, destination, size)
         if found.verdict is DROP:
             others = [b for b in bodies.values() if b.cls == "status"]
-            chosen = plan.victims(PLANS, LIMITS.room, held, cls, found.bytes_needed, others, found.destination)
+            chosen = plan.victims(
+                PLANS, LIMITS.room, held, cls, found.bytes_needed, others, found.destination
+            )
             for victim in chosen:
                 del bodies[victim.ref]
                 held.add(victim.cls, victim.destination, -victim.size)
@@ -216,7 +218,12 @@
     silent.failed(3.0)
     told.failed(5.0, wait_s=4.5)
     now = 5.0
-    assert quick.expected_wait_s(now, 0) < slow.expected_wait_s(now, 0) < silent.expected_wait_s(now, 0) < told.expected_wait_s(now, 0)
+    assert (
+        quick.expected_wait_s(now, 0)
+        < slow.expected_wait_s(now, 0)
+        < silent.expected_wait_s(now, 0)
+        < told.expected_wait_s(now, 0)
+    )
     assert quick.expected_wait_s(now, 9) == pytest.approx(10 * quick.expected_wait_s(now, 0))
     silent.delivered(6.0)
     assert silent.expected_wait_s(6.0, 0) < 2.0  # what answers again is near again
--- a/tests/test_bodies_sockets.py
+++ b/tests/test_bodies_sockets.py
@@ -7,8 +7,8 @@
 import sys
 
 import pytest
-from test_net_sockets import Case
 from harness import PATIENCE, ROOT, Host, Sender, until
+from test_net_sockets import Case
 
 LONG = bool(os.environ.get("WILLOWNOTCH_LONG"))
 FILES_ONLY = (
--- a/tests/test_bodies_store.py
+++ b/tests/test_bodies_store.py
@@ -12,17 +12,17 @@
 from unittest import mock
 
 import pytest
+from body_store_rig import Rig, body_of
+from harness import ROOT, until
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from body_store_rig import Rig, body_of
-from harness import ROOT, until
 
 from willownotch.bodies.plan import Admission, Step, Verdict
 from willownotch.bodies.store import BodyLostError
 from willownotch.files.faulty import Fault, Faulty, Kind
 from willownotch.interface import Outcome
-from willownotch.journal.records import MessageEnded, NoticeAnswered, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, MessageEnded, NoticeAnswered
 from willownotch.net.pending import PendingReply
 
 LONG = bool(os.environ.get("WILLOWNOTCH_LONG"))
@@ -236,7 +236,17 @@
         body = body_of("old", 5000)
         (rig.folder / "body-9-1").write_bytes(body)
         rig.journal.append(
-            [AcceptedMessage("old", 7, "fee", "acme", rig.clock.now(), legacy_file="body-9-1", checksum=zlib.crc32(body))]
+            [
+                AcceptedMessage(
+                    "old",
+                    7,
+                    "fee",
+                    "acme",
+                    rig.clock.now(),
+                    legacy_file="body-9-1",
+                    checksum=zlib.crc32(body),
+                )
+            ]
         )
         rig.restart()
         self.assertEqual(rig.read("old"), body)
@@ -247,9 +257,13 @@
     def test_what_was_never_kept_is_known_to_be_so(self):
         rig = self.rig()
         body = b"x" * 9000
-        rig.journal.append([AcceptedMessage("u", 7, "status", "acme", rig.clock.now(), body=body, unkept=True)])
+        rig.journal.append(
+            [AcceptedMessage("u", 7, "status", "acme", rig.clock.now(), body=body, unkept=True)]
+        )
         rig.restart()
-        self.assertEqual((rig.journal.live["u"].message.unkept, rig.journal.live["u"].message.body), (True, b""))
+        self.assertEqual(
+            (rig.journal.live["u"].message.unkept, rig.journal.live["u"].message.body), (True, b"")
+        )
 
 
 class Failures(Case):
@@ -446,7 +460,11 @@
 def test_death_at_any_file_operation_loses_no_promise(mode):
     """Of a spill, a read-back, a reclaim and a recovery: the next process opens the folder."""
     done = subprocess.run(
-        [sys.executable, "tests/body_store_crashes.py", mode, "1"], cwd=ROOT, text=True, capture_output=True, timeout=500
+        [sys.executable, "tests/body_store_crashes.py", mode, "1"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=500,
     )
     assert done.returncode == 0, done.stdout + done.stderr
     report = json.loads(done.stdout)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -7,8 +7,8 @@
 import sys
 
 import click
-import pytest
 import harness
+import pytest
 from harness import ROOT
 
 from willownotch import commands
--- a/tests/test_controlplane_faults.py
+++ b/tests/test_controlplane_faults.py
@@ -13,8 +13,8 @@
 from datetime import timedelta
 
 import pytest
-from plane import PATIENCE, PLACES, Authors, Plane
 from harness import until
+from plane import PATIENCE, PLACES, Authors, Plane
 
 from willownotch.peers.lossy import Weather
 
--- a/tests/test_controlplane_member.py
+++ b/tests/test_controlplane_member.py
@@ -13,8 +13,8 @@
 
 import msgspec
 import pytest
-from tiered import PATIENCE, Tier
 from harness import ROOT, until
+from tiered import PATIENCE, Tier
 
 from willownotch.channel.client import AskError
 from willownotch.controlplane import store as stores
--- a/tests/test_controlplane_page.py
+++ b/tests/test_controlplane_page.py
@@ -10,7 +10,7 @@
 import pytest
 
 from willownotch.controlplane import settings
-from willownotch.settings.types import format_size, block_settings
+from willownotch.settings.types import block_settings, format_size
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "control-plane.md").read_text(encoding="utf-8")
--- a/tests/test_controlplane_sender.py
+++ b/tests/test_controlplane_sender.py
@@ -7,8 +7,8 @@
 import threading
 from datetime import timedelta
 
-import pytest
 import harness
+import pytest
 from following import KEYS, Fleet, Member
 from harness import ROOT, SETTINGS, until
 
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -280,7 +280,11 @@
     files.operations.clear()
     made.rewrite([b"x"])
     operations = [operation for _, operation, _ in files.operations]
-    assert operations.index("sync") < operations.index("replace") < len(operations) - 1 - operations[::-1].index("sync")
+    assert (
+        operations.index("sync")
+        < operations.index("replace")
+        < len(operations) - 1 - operations[::-1].index("sync")
+    )
     made.close()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,19 +15,19 @@
 from harness import PATIENCE, SETTINGS, Discovery, Host, Sender, until
 
 from willownotch.interface import Outcome
-from willownotch.journal.records import Entry, RelayStarted, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, Entry, RelayStarted
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net import client_side, http, registry, sockets
 from willownotch.net import config as configs
 from willownotch.net.client_connections import Client, Stage, StageQueues
 from willownotch.net.client_side import ClientSide
 from willownotch.net.clock import Clock
+from willownotch.net.decision_loop import DecisionLoop, Owed
+from willownotch.net.endpoint_side import BEGIN_LATE, EndpointSide, IdleConnection, Relay
 from willownotch.net.events import Answer, HandIn, Verdict
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import Owed, DecisionLoop
 from willownotch.net.pending import PendingReply
-from willownotch.net.registry import Notice, NoticeSender, Platform, EndpointListWatcher
-from willownotch.net.endpoint_side import BEGIN_LATE, IdleConnection, Relay, EndpointSide
+from willownotch.net.registry import EndpointListWatcher, Notice, NoticeSender, Platform
 
 REQUEST = http.write_request(
     "POST",
@@ -82,7 +82,9 @@
         if isinstance(item, HandIn):
             assert item.pending.claim()
             self.handed.append(item)
-            start("owner", lambda: (self.answer.wait(PATIENCE), item.pending.settle(Answer(Verdict.ACCEPTED))))
+            start(
+                "owner", lambda: (self.answer.wait(PATIENCE), item.pending.settle(Answer(Verdict.ACCEPTED)))
+            )
 
     def connect(self):
         """A connection, and what is known of it on the other side."""
@@ -202,7 +204,9 @@
 
     real = clients.client_side._clients_changed.wait
     monkeypatch.setattr(client_side, "Client", Looked)
-    monkeypatch.setattr(clients.client_side._clients_changed, "wait", lambda span=None: waits.append(span) or real(span))
+    monkeypatch.setattr(
+        clients.client_side._clients_changed, "wait", lambda span=None: waits.append(span) or real(span)
+    )
     clients.client_side.max_clients = 100
     address, socks = ("127.0.0.1", clients.client_side.port), []
     for count in range(1, 141):
@@ -424,7 +428,9 @@
         self.hosts, self.meanwhile = {1: self.listed}, lambda: None
         bodies = SimpleNamespace(read=lambda taken: b"hello")
         journal = SimpleNamespace(append=lambda records: self.meanwhile(), live={})
-        self.endpoint_side = EndpointSide(config(), clock, Log(clock), journal, bodies, self.hosts, self.ended.append, start)
+        self.endpoint_side = EndpointSide(
+            config(), clock, Log(clock), journal, bodies, self.hosts, self.ended.append, start
+        )
         self.now = clock.now
 
     def kept(self):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -11,9 +11,9 @@
 
 import numpy as np
 import pytest
+from harness import ROOT, until
 from hypothesis import given
 from hypothesis import strategies as st
-from harness import ROOT, until
 
 from willownotch.lab.experiment.cases import Case, cases, version
 from willownotch.lab.experiment.compare import against, paired
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -11,16 +11,16 @@
     CloseIdle,
     Fail,
     ListFailed,
-    PeerJudgement,
     Outcome,
+    PeerJudgement,
+    PublishJudgement,
     Refuse,
     Send,
+    SetTimer,
     Subscribe,
-    PublishJudgement,
     Tenant,
     TenantPart,
     Timer,
-    SetTimer,
 )
 
 
@@ -302,7 +302,10 @@
     while not sends(out):
         out += sender.tick(0.1)
     out += sender.step(sender.ended(sends(out)[0], Outcome.DELIVERED), after=0.1)
-    assert [a for a in out if isinstance(a, PublishJudgement)] == [PublishJudgement(1, False), PublishJudgement(1, True)] * may_tell
+    assert [a for a in out if isinstance(a, PublishJudgement)] == [
+        PublishJudgement(1, False),
+        PublishJudgement(1, True),
+    ] * may_tell
 
 
 def test_senders_that_ask_for_the_list_fail_apart_and_have_one_call_under_way():
--- a/tests/test_files_replaced.py
+++ b/tests/test_files_replaced.py
@@ -8,7 +8,7 @@
 from willownotch.files.layer import Files
 from willownotch.files.replacing import replace_file
 from willownotch.files.space import Space
-from willownotch.journal.records import MessageEnded, RelayStarted, AcceptedMessage, frame
+from willownotch.journal.records import AcceptedMessage, MessageEnded, RelayStarted, frame
 from willownotch.net.journal import NAME, Journal
 from willownotch.net.timebase import Origin, continues
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,17 +9,17 @@
 import pytest
 from helpers import SAFE, Sender, sends
 
-from willownotch.interface import PeerJudgement, Outcome, Rules, Timer
+from willownotch.interface import Outcome, PeerJudgement, Rules, Timer
 from willownotch.net.clock import seconds
 from willownotch.net.registry import (
-    MAX_RETRY_DELAY_BUSY,
-    MAX_RETRY_DELAY_AGENT,
-    MAX_RETRY_DELAY_AFTER_SILENCE,
+    AGENT_FIRST_DATA_TIMEOUT,
     CONNECT_TIMEOUT,
+    LIST_CHANGE_GRACE,
+    MAX_RETRY_DELAY_AFTER_SILENCE,
+    MAX_RETRY_DELAY_AGENT,
+    MAX_RETRY_DELAY_BUSY,
     SERVICE_FIRST_DATA_TIMEOUT,
-    AGENT_FIRST_DATA_TIMEOUT,
     SILENCE_TIMEOUT,
-    LIST_CHANGE_GRACE,
     Backoff,
 )
 
@@ -183,10 +183,21 @@
     asked, pushed = Backoff(senders, lambda: 0.0), Backoff(draw=lambda: 0.0)
     asked.reset(timedelta(milliseconds=each_ms))
     for _ in range(6):  # however often it was tried
-        assert SILENCE_TIMEOUT + asked.next(MAX_RETRY_DELAY_AFTER_SILENCE) + CONNECT_TIMEOUT + SERVICE_FIRST_DATA_TIMEOUT <= LIST_CHANGE_GRACE
+        assert (
+            SILENCE_TIMEOUT
+            + asked.next(MAX_RETRY_DELAY_AFTER_SILENCE)
+            + CONNECT_TIMEOUT
+            + SERVICE_FIRST_DATA_TIMEOUT
+            <= LIST_CHANGE_GRACE
+        )
         assert asked.next() + CONNECT_TIMEOUT + SERVICE_FIRST_DATA_TIMEOUT <= LIST_CHANGE_GRACE
         # An agent can fall silent and come back between two tries: both fit.
-        assert SILENCE_TIMEOUT + 2 * (pushed.next(MAX_RETRY_DELAY_AGENT) + CONNECT_TIMEOUT) + AGENT_FIRST_DATA_TIMEOUT < LIST_CHANGE_GRACE
+        assert (
+            SILENCE_TIMEOUT
+            + 2 * (pushed.next(MAX_RETRY_DELAY_AGENT) + CONNECT_TIMEOUT)
+            + AGENT_FIRST_DATA_TIMEOUT
+            < LIST_CHANGE_GRACE
+        )
 
 
 class Limited:
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -19,10 +19,10 @@
 from willownotch.journal.records import AcceptedMessage, replay
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net.clock import Clock
+from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.events import HandIn, Verdict
 from willownotch.net.journal import NAME, NEW_NAME, Journal, JournalUnsureError
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.pending import PendingReply
 
 SHORT = Fault(Kind.SHORT, "append", NAME)
--- a/tests/test_lease_sockets.py
+++ b/tests/test_lease_sockets.py
@@ -7,10 +7,10 @@
 import subprocess
 import sys
 
-import pytest
 import harness
-from meshed import MeshFleet
+import pytest
 from harness import ROOT, until
+from meshed import MeshFleet
 
 from willownotch.channel.client import ask
 from willownotch.peers.lossy import Weather
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,12 +12,12 @@
 import time
 from datetime import timedelta
 
+import harness
 import numpy as np
 import pytest
-import harness
+from harness import PATIENCE, ROOT, Server, until
 from hypothesis import example, given
 from hypothesis import strategies as st
-from harness import PATIENCE, ROOT, Server, until
 
 from willownotch.lab.load import trace
 from willownotch.lab.load.core import Close, Generator, Open, Send
--- a/tests/test_mesh_sockets.py
+++ b/tests/test_mesh_sockets.py
@@ -11,10 +11,10 @@
 import sys
 from pathlib import Path
 
-import pytest
 import harness
-from meshed import KEYS, MeshFleet
+import pytest
 from harness import ROOT, Sender, until
+from meshed import KEYS, MeshFleet
 
 from willownotch.channel.client import AskError, ask
 from willownotch.peers.lossy import Weather
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -17,19 +17,26 @@
 from willownotch.files.space import Space, round_to_blocks
 from willownotch.interface import Outcome
 from willownotch.journal import records
-from willownotch.journal.records import RelayFailed, RelaysCounted, MessageEnded, NoticeAnswered, RelayStarted, AcceptedMessage
+from willownotch.journal.records import (
+    AcceptedMessage,
+    MessageEnded,
+    NoticeAnswered,
+    RelayFailed,
+    RelaysCounted,
+    RelayStarted,
+)
 from willownotch.lifecycle import SharedLifecycle
 from willownotch.net import bulk, http
 from willownotch.net import config as configs
 from willownotch.net.client_requests import RefusedError, read_message
 from willownotch.net.clock import Clock, millis
+from willownotch.net.decision_loop import DecisionLoop
+from willownotch.net.endpoint_side import EndpointSide, Relay, read_load, read_outcome, read_wait
 from willownotch.net.events import Answer, Verdict
 from willownotch.net.journal import Journal, JournalFullError
 from willownotch.net.log import MOST, Log
-from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.pending import PendingReply
 from willownotch.net.registry import Host, Hosts, WatchDecoder
-from willownotch.net.endpoint_side import Relay, EndpointSide, read_load, read_outcome, read_wait
 
 ENDS = datetime(2026, 12, 1, 12, 0, tzinfo=UTC)
 
@@ -376,7 +383,10 @@
             message = AcceptedMessage("r" * length, 7, "fee", "acme", ENDS, "k" * 200, "i" * 100)
             ref = message.ref
             end = [MessageEnded(ref, "handed_back", 2000), NoticeAnswered(ref), RelaysCounted(ref, 12)]
-            room, size = records.bytes_to_reserve(message), sum(len(records.frame(r)) for r in [message, *end])
+            room, size = (
+                records.bytes_to_reserve(message),
+                sum(len(records.frame(r)) for r in [message, *end]),
+            )
             for n in range(12):
                 relay = [RelayStarted(ref, n, datetime.now(UTC), "s-5be2a07c"), RelayFailed(ref, n, True)]
                 size += sum(map(len, map(records.frame, relay)))
@@ -390,7 +400,13 @@
                 f"{n:016x}", 7, "slot-order", "erongo-haulage", ENDS, "k" * 16, "i" * 32, body=b"z" * 500
             )
             self.assertTrue(made.fits([message]), n)
-            made.append([message, RelayStarted(message.ref, 0, ENDS, "s-5be2a07c"), RelayFailed(message.ref, 0, False)])
+            made.append(
+                [
+                    message,
+                    RelayStarted(message.ref, 0, ENDS, "s-5be2a07c"),
+                    RelayFailed(message.ref, 0, False),
+                ]
+            )
         self.assertEqual(self.open(3_000_000).live[f"{0:016x}"].count(), 1)
 
     def test_relays_leave_room_for_the_ends_of_messages(self):
@@ -477,7 +493,9 @@
         hosts.pop(58)
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
-        endpoint_side._keep(Relay(None, 0, 58, Host(58, "s-58", ("127.0.0.1", 58), 58, True), ENDS, ENDS), ours)
+        endpoint_side._keep(
+            Relay(None, 0, 58, Host(58, "s-58", ("127.0.0.1", 58), 58, True), ENDS, ENDS), ours
+        )
         self.assertEqual(ours.fileno(), -1)  # its host is gone: closed, not kept
         for number in list(endpoint_side._idle):
             endpoint_side.close_idle(number)
--- a/tests/test_replica_parts.py
+++ b/tests/test_replica_parts.py
@@ -11,7 +11,7 @@
 from willownotch.files.faulty import Faulty, read_faults
 from willownotch.files.layer import REAL
 from willownotch.files.space import Space
-from willownotch.journal.records import Custody, MessageEnded, RelayStarted, AcceptedMessage, frame
+from willownotch.journal.records import AcceptedMessage, Custody, MessageEnded, RelayStarted, frame
 from willownotch.links.edge import MOST
 from willownotch.peers.seal import Seal
 from willownotch.replica import copies, core, wire
--- a/tests/test_replica_sockets.py
+++ b/tests/test_replica_sockets.py
@@ -7,8 +7,8 @@
 import subprocess
 import sys
 
-import pytest
 import harness
+import pytest
 from custodial import PATIENCE, Custodial
 from harness import ROOT, until
 
--- a/tests/test_restarted.py
+++ b/tests/test_restarted.py
@@ -6,7 +6,7 @@
 from helpers import KEYED, ORDERED, SAFE, UNSAFE, Sender, answers, sends
 
 from willownotch.interface import Endpoint, EndpointList, Fail, Outcome, PastAttempt, Refuse, Stopping, Timer
-from willownotch.journal.records import Entry, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, Entry
 from willownotch.net.decision_loop import soonest_first
 
 
@@ -14,7 +14,10 @@
     def recovered(self, cls, past, **more):
         sender = Sender(**more)
         message = sender.message(cls, key="k" if cls is ORDERED else None)
-        values = {name: getattr(message, name) for name in message.__slots__} | {"past": past, "is_retry": True}
+        values = {name: getattr(message, name) for name in message.__slots__} | {
+            "past": past,
+            "is_retry": True,
+        }
         sender.tries[message.ref] = len(past) - 1
         return sender, type(message)(**values)
 
@@ -42,7 +45,8 @@
         ends = datetime(2026, 12, 2, tzinfo=UTC)
         rows = [("a", None, 9), ("b", "k", 8), ("c", None, 7), ("d", "k", 5), ("e", None, 8)]
         found = [
-            Entry(AcceptedMessage(ref, 1, "x", "", ends + timedelta(seconds=left), key), 0) for ref, key, left in rows
+            Entry(AcceptedMessage(ref, 1, "x", "", ends + timedelta(seconds=left), key), 0)
+            for ref, key, left in rows
         ]
         told = [entry.message.ref for entry in soonest_first(found)]
         self.assertEqual(told, ["b", "d", "c", "e", "a"])  # of a key as handed in
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,7 +6,7 @@
 
 from harness import SETTINGS, Discovery, Host, Sender, until
 
-from willownotch.interface import Idempotency, DedupScope, MessageClass
+from willownotch.interface import DedupScope, Idempotency, MessageClass
 from willownotch.net.config import ConfigError, read_config, retuned
 from willownotch.net.rules import class_of, rules_of
 
@@ -79,7 +79,9 @@
         self.assertEqual({rules.attempts for rules in now.rules.values()}, {3})
 
     def test_rules_come_back_as_the_class_they_were(self):
-        cls = MessageClass("a", 3.0, 2.0, 12.0, 0.3, Idempotency.KEYED, DedupScope.ZONE, 5.0, True, 1.0, attempts=7)
+        cls = MessageClass(
+            "a", 3.0, 2.0, 12.0, 0.3, Idempotency.KEYED, DedupScope.ZONE, 5.0, True, 1.0, attempts=7
+        )
         self.assertEqual(class_of("a", rules_of(cls, 7)), cls)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 import pytest
+from harness import ROOT
 from hypothesis import given
 from hypothesis import strategies as st
-from harness import ROOT
 
 from willownotch.blocks import Blocks
 from willownotch.bodies.settings import AtLimit, BodiesSettings, ClassBodies, for_class
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -11,10 +11,10 @@
 
 from willownotch.control import Controller
 from willownotch.interface import (
-    Idempotency,
+    DestinationKind,
     Endpoint,
     EndpointList,
-    DestinationKind,
+    Idempotency,
     Message,
     MessageClass,
     Refuse,
@@ -344,7 +344,9 @@
 
 def test_the_module_turns_away_what_is_above_a_hard_part_and_says_when_to_come_again():
     order = MessageClass("order", 1.0, 2.0, 10.0, 0.3, Idempotency.SAFE)
-    asked = Settings((order,), (DestinationKind("k"),), 50, 100, (Tenant("acme", 10.0),), max_retry_after_s=5.0)
+    asked = Settings(
+        (order,), (DestinationKind("k"),), 50, 100, (Tenant("acme", 10.0),), max_retry_after_s=5.0
+    )
     for hard in (False, True):
         control = Controller(asked, 1)
         control.handle(0.0, [EndpointList((Endpoint(1, 7, 0, 0),), True), TenantPart(0, 0.25, hard)])
--- a/tests/test_shared_sockets.py
+++ b/tests/test_shared_sockets.py
@@ -12,8 +12,8 @@
 from random import Random
 
 import pytest
-from meshed import KEYS, MeshFleet
 from harness import SETTINGS, Host, Sender, until
+from meshed import KEYS, MeshFleet
 
 from willownotch.channel.client import ask
 from willownotch.net import http
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,17 +13,17 @@
 from willownotch.interface import (
     Endpoint,
     EndpointList,
-    PeerJudgement,
     Outcome,
-    SlowStartRecords,
+    PeerJudgement,
     Rules,
+    SetTimer,
     SlowStartRecord,
+    SlowStartRecords,
     Timer,
-    SetTimer,
 )
 from willownotch.net.clock import Clock
 from willownotch.net.log import Log
-from willownotch.net.slow_start_file import MAX_FILE_BYTES, NAME, SlowStartSnapshot, SlowStartFile
+from willownotch.net.slow_start_file import MAX_FILE_BYTES, NAME, SlowStartFile, SlowStartSnapshot
 from willownotch.slow_start import Calls, SlowStart, State, Traffic
 
 RULES = Rules(cold_share=0.2, cold_s=10.0)
--- a/tests/test_slow_start_floor.py
+++ b/tests/test_slow_start_floor.py
@@ -12,9 +12,9 @@
 import time
 
 import pytest
-from helpers import SAFE, Sender, answers, sends
 from harness import PATIENCE, Discovery, Host, until
 from harness import Sender as Process
+from helpers import SAFE, Sender, answers, sends
 
 from willownotch.interface import Endpoint, EndpointList, Outcome, SlowStartRecords, Timer
 from willownotch.lab.recovery.case import Case, Outage, OutageKind, draw
--- a/tests/test_slow_start_lines.py
+++ b/tests/test_slow_start_lines.py
@@ -1,8 +1,8 @@
 """What a sender says and counts of an endpoint that fails, returns and is warm again."""
 
-from helpers import Sender, sends
 from harness import Discovery, Host, until
 from harness import Sender as SenderProcess
+from helpers import Sender, sends
 
 from willownotch.interface import CallPhase, Log, Outcome, Timer
 
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -94,7 +94,18 @@
 def predecessor_of(rig, folder, lifecycle, decision_loop, endpoint_side=None):
     """The old process's side, with parts that are made up."""
     lock = FolderLock(folder)
-    return Predecessor(folder, lock, rig.clock, rig.log, lifecycle, decision_loop, endpoint_side, rig.client_side, None, start)
+    return Predecessor(
+        folder,
+        lock,
+        rig.clock,
+        rig.log,
+        lifecycle,
+        decision_loop,
+        endpoint_side,
+        rig.client_side,
+        None,
+        start,
+    )
 
 
 def request(ref="1", more=()):
--- a/willownotch/adapter.py
+++ b/willownotch/adapter.py
@@ -79,7 +79,9 @@
     rules, costs = conf["rules"], conf.get("costs") or {}
     batches, apart = family.get("kindBatch") or [], family.get("separateRoutes") or []
     kinds = tuple(
-        i.DestinationKind(str(name), int(batches[n]) if n < len(batches) else 1, bool(n < len(apart) and apart[n]))
+        i.DestinationKind(
+            str(name), int(batches[n]) if n < len(batches) else 1, bool(n < len(apart) and apart[n])
+        )
         for n, name in enumerate(conf["models"])
     )
     return i.Settings(
--- a/willownotch/bodies/plan.py
+++ b/willownotch/bodies/plan.py
@@ -332,8 +332,12 @@
     size, live = sum(round_to_blocks(s.size) for s in segments), sum(s.live for s in segments)
     if not pressed and (not size or (size - live) / size < reclaim):
         return None
-    worth = [s for s in segments if round_to_blocks(s.size) - round_to_blocks(s.live) > 0 and s.live <= copy_most]
-    best = max(worth, key=lambda s: ((round_to_blocks(s.size) - s.live) / (s.live + 1), -s.number), default=None)
+    worth = [
+        s for s in segments if round_to_blocks(s.size) - round_to_blocks(s.live) > 0 and s.live <= copy_most
+    ]
+    best = max(
+        worth, key=lambda s: ((round_to_blocks(s.size) - s.live) / (s.live + 1), -s.number), default=None
+    )
     return best.number if best else None
 
 
--- a/willownotch/bodies/settings.py
+++ b/willownotch/bodies/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from willownotch.interface import Idempotency
-from willownotch.settings.types import ChoiceType, Flag, NamedBlocks, ShareType, SizeType, DurationType, YesNo
+from willownotch.settings.types import ChoiceType, DurationType, Flag, NamedBlocks, ShareType, SizeType, YesNo
 
 PATIENCE = timedelta(milliseconds=10), timedelta(milliseconds=250)  # a client waits 400 ms for its answer
 
@@ -42,7 +42,9 @@
     destination_share: Annotated[float, ShareType(0.01)] = 0.5  # of the room, for one destination
     reclaim: Annotated[float, ShareType(0.05)] = 0.5  # dead share: from there on files are written anew
     write_patience: Annotated[timedelta, DurationType(*PATIENCE)] = timedelta(milliseconds=200)
-    come_back: Annotated[timedelta, DurationType(timedelta(0), timedelta(hours=1))] = timedelta(milliseconds=500)
+    come_back: Annotated[timedelta, DurationType(timedelta(0), timedelta(hours=1))] = timedelta(
+        milliseconds=500
+    )
     class_: Annotated[dict[str, ClassBodies], NamedBlocks(ClassBodies)] = {}
 
     def faults(self) -> list[tuple[str, str]]:
--- a/willownotch/bodies/show.py
+++ b/willownotch/bodies/show.py
@@ -50,7 +50,8 @@
     for message in owed:
         step = step_of(message)
         row = rows.setdefault(
-            (message.message_class, message.destination, step), Row(message.message_class, message.destination, step)
+            (message.message_class, message.destination, step),
+            Row(message.message_class, message.destination, step),
         )
         row.bodies += 1
         row.bytes += message.body_size()
--- a/willownotch/bodies/store.py
+++ b/willownotch/bodies/store.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from willownotch.bodies import plan
-from willownotch.bodies.plan import Admission, ClassPlan, Limits, DeliveryForecast, Place, Verdict
+from willownotch.bodies.plan import Admission, ClassPlan, DeliveryForecast, Limits, Place, Verdict
 from willownotch.bodies.settings import BodiesSettings, for_class
 from willownotch.files.layer import Files
 from willownotch.files.space import Space, round_to_blocks
@@ -300,7 +300,9 @@
         if self._refused and admission.verdict is Verdict.KEEP:
             now = self.clock.now()
             if now < self._blocked_until:
-                return plan.after_failure(self.plans[message.message_class], "the disk refused the last write")
+                return plan.after_failure(
+                    self.plans[message.message_class], "the disk refused the last write"
+                )
             self._blocked_until = now + PAUSE
         return admission
 
@@ -428,7 +430,10 @@
     def _spill_one(self, new_s: float) -> bool:
         """The body that is wanted last leaves memory for one wanted in `new_s`; False if that is the last."""
         now = self.clock.module_s(self.clock.now())
-        lines = [plan.Line(d, self._outlook(d).expected_wait_s(now, len(line) - 1)) for d, line in self._lines.items()]
+        lines = [
+            plan.Line(d, self._outlook(d).expected_wait_s(now, len(line) - 1))
+            for d, line in self._lines.items()
+        ]
         victim = plan.spill_from(lines, new_s)
         if victim is None:
             return False
--- a/willownotch/channel/tables.py
+++ b/willownotch/channel/tables.py
@@ -23,7 +23,14 @@
 def peers(found: dict[str, Any]) -> str:
     """What a sender knows of its peers."""
     rows = [
-        [m["name"], m["address"], m["state"], format_duration(m["since_s"]), format_duration(m["heard_s"]), m["why"]]
+        [
+            m["name"],
+            m["address"],
+            m["state"],
+            format_duration(m["since_s"]),
+            format_duration(m["heard_s"]),
+            m["why"],
+        ]
         for m in found["members"]
     ]
     head = (
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -32,23 +32,23 @@
 from willownotch.net import memory, slow_start_file, timebase
 from willownotch.net.client_side import BACKLOG, ClientSide
 from willownotch.net.clock import Clock, seconds
+from willownotch.net.decision_loop import KILL_AFTER, DecisionLoop
+from willownotch.net.endpoint_side import EndpointSide
 from willownotch.net.events import (
     BodyLost,
+    BookAcquired,
     BookExpired,
     BookLost,
     SettingsUpdate,
     SharedStateUpdate,
     Stop,
     TenantParts,
-    BookAcquired,
 )
 from willownotch.net.folder import open_folder
 from willownotch.net.listening import listen
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import KILL_AFTER, DecisionLoop
-from willownotch.net.registry import Hosts, NoticeSender, Platform, EndpointListWatcher
+from willownotch.net.registry import EndpointListWatcher, Hosts, NoticeSender, Platform
 from willownotch.net.sockets import RETRIES
-from willownotch.net.endpoint_side import EndpointSide
 from willownotch.startup import Startup
 
 if TYPE_CHECKING:
@@ -350,10 +350,14 @@
             None,
         )
         hosts = Hosts(tuple(kind.name for kind in config.settings.kinds), config.zones, clock, log)
-        decision_loop = DecisionLoop(config, clock, log, journal, hosts, bodies, lifecycle, bool(blocks.shared.judgements))
+        decision_loop = DecisionLoop(
+            config, clock, log, journal, hosts, bodies, lifecycle, bool(blocks.shared.judgements)
+        )
         decision_loop.lost_bodies = lost
         decision_loop.slow_starts = slow_start_file.SlowStartFile(config.state, files, clock, log)
-        client_side = ClientSide(config, clock, log, decision_loop, bodies, threads.start, lifecycle, listener)
+        client_side = ClientSide(
+            config, clock, log, decision_loop, bodies, threads.start, lifecycle, listener
+        )
         mesh, channel = startup.attempt(
             "addresses of the mesh",
             lambda: open_mesh(config, blocks, files, journal, log, succeeds=inherited is not None),
@@ -364,19 +368,30 @@
     except (OSError, ValueError, OverflowError) as fault:
         print(f"willownotch: cannot start: {fault}", file=sys.stderr)
         sys.stderr.flush()
-        os._exit(EXIT_FAULTY)  # operators may be answered already, and a thread of theirs is no reason to stay
+        os._exit(
+            EXIT_FAULTY
+        )  # operators may be answered already, and a thread of theirs is no reason to stay
     calls.empty = lambda: threads.start("drain", client_side.empty)
     for fault in journal.faults:
         log.say("journal", fault)
     bodies.would_reject = decision_loop.would_reject
     bodies.lost = lambda ref: decision_loop.post(BodyLost(ref))
-    endpoint_side = EndpointSide(config, clock, log, journal, bodies, hosts.by_number, decision_loop.post, threads.start)
+    endpoint_side = EndpointSide(
+        config, clock, log, journal, bodies, hosts.by_number, decision_loop.post, threads.start
+    )
     platform = Platform(config.discovery)
     notices = NoticeSender(platform, log, decision_loop.notices_answered)
-    decision_loop.submit, decision_loop.cancel, decision_loop.close_idle = endpoint_side.submit, endpoint_side.cancel, endpoint_side.close_idle
+    decision_loop.submit, decision_loop.cancel, decision_loop.close_idle = (
+        endpoint_side.submit,
+        endpoint_side.cancel,
+        endpoint_side.close_idle,
+    )
     decision_loop.notify = notices.post
     if mesh is not None and mesh.shared is not None:
-        decision_loop.shared, mesh.shared.tell = mesh.shared, lambda found: decision_loop.post(SharedStateUpdate(found))
+        decision_loop.shared, mesh.shared.tell = (
+            mesh.shared,
+            lambda found: decision_loop.post(SharedStateUpdate(found)),
+        )
         mesh.shared.endpoints = lambda: {h.name: h.destination for h in list(hosts.by_number.values())}
     keeper = mesh.keeper if mesh is not None else None
     if keeper is not None:
@@ -399,7 +414,9 @@
             registry.index = state.list_index
     if inherited is not None:
         predecessor_link = PredecessorLink(inherited, log, decision_loop, endpoint_side, client_side)
-        decision_loop.cancel = lambda relay: (predecessor_link if relay.remote else endpoint_side).cancel(relay)
+        decision_loop.cancel = lambda relay: (predecessor_link if relay.remote else endpoint_side).cancel(
+            relay
+        )
 
     def retuned(fresh: configs.Config) -> None:
         """By the owner, in the round from which the settings hold."""
@@ -410,7 +427,9 @@
             following.holds(fresh)
 
     decision_loop.retuned = retuned
-    reloads = Reloads(path, config, platform, log, lambda fresh: decision_loop.post(SettingsUpdate(fresh)), overlay)
+    reloads = Reloads(
+        path, config, platform, log, lambda fresh: decision_loop.post(SettingsUpdate(fresh)), overlay
+    )
     following = open_following(config, blocks, reloads, files, log, lifecycle, channel, startup)
 
     def take_reloads() -> None:
@@ -443,7 +462,16 @@
     threads.start("notices", notices.run, forever=True)
     threads.start("listener", client_side.run, forever=True)
     predecessor = Predecessor(
-        config.state, lock, clock, log, lifecycle, decision_loop, endpoint_side, client_side, bodies, threads.start
+        config.state,
+        lock,
+        clock,
+        log,
+        lifecycle,
+        decision_loop,
+        endpoint_side,
+        client_side,
+        bodies,
+        threads.start,
     )
     if inherited is not None:
         predecessor.predecessor_gone = predecessor_link.gone.is_set
--- a/willownotch/control.py
+++ b/willownotch/control.py
@@ -30,7 +30,7 @@
 from willownotch.pacing import PACE_GAP_S, even_part, refused, told
 from willownotch.repeats import RAN_BY_OUTCOME, may_refuse, may_send
 from willownotch.slow_start import FEW_SENDERS, LATE_S, TOGETHER_LEAST, Calls, SlowStart, State, Traffic
-from willownotch.state import Store, Bucket, Call, Destination, Fading, Job, Ran, Route, Unit, follow, job_of
+from willownotch.state import Bucket, Call, Destination, Fading, Job, Ran, Route, Store, Unit, follow, job_of
 
 DEST_SHARE, SICK_SHARE = 0.75, 0.5  # share of slots: one destination; a slow or failing one, or all of these
 FAIL_STEP, FULL_STEP, SICK = 0.4, 0.1, 0.6  # two failures in a row pass SICK, or nine refusals
@@ -293,9 +293,7 @@
             self.drops.add(-call.route.lost, self.now)
             call.route.lost = 0.0
 
-    def _evidence(
-        self, route: Route, event: api.AttemptEnded | api.ProbeEnded, reused: bool = False
-    ) -> None:
+    def _evidence(self, route: Route, event: api.AttemptEnded | api.ProbeEnded, reused: bool = False) -> None:
         """What one call or probe tells of its route and unit; `reused`: its connection had been idle."""
         unit, now, outcome, step = route.unit, self.now, event.outcome, FAIL_STEP
         if event.limit_per_s:
@@ -438,7 +436,11 @@
     def _traffic(self, route: Route, peers: int) -> Traffic:
         """What is known of the calls to one endpoint: what is wanted, but no more than was delivered before
         the outage, and the even part of a limit. What is delivered in a slow start only follows that."""
-        unit, dest, slow_start = route.unit, self.store.destinations[route.entry.destination], route.slow_start
+        unit, dest, slow_start = (
+            route.unit,
+            self.store.destinations[route.entry.destination],
+            route.slow_start,
+        )
         usual = min(dest.wanted(self.now), slow_start.delivered_before or inf) / peers
         fair, told = even_part(unit, self.settings) / peers, unit.mean_limit is not None
         fleet = max(unit.told_limit / peers, self.settings.senders * usual)
@@ -513,7 +515,10 @@
             if not route.serving() or not may_send(job, route, self.now, self.settings):
                 continue
             # Cut off by the sender's own end it could never go again: better after the restart.
-            if job.cls.idempotency is Idempotency.UNSAFE and self.now + self._patience(route.unit) > self.stops_at:
+            if (
+                job.cls.idempotency is Idempotency.UNSAFE
+                and self.now + self._patience(route.unit) > self.stops_at
+            ):
                 continue
             if number in opened and opened[number].left < kind.batch and self._sound(route):
                 best = route
--- a/willownotch/controlplane/settings.py
+++ b/willownotch/controlplane/settings.py
@@ -7,7 +7,15 @@
 
 import msgspec
 
-from willownotch.settings.types import AddressType, CountType, ListType, NamedBlocks, SizeType, DurationType, TextType
+from willownotch.settings.types import (
+    AddressType,
+    CountType,
+    DurationType,
+    ListType,
+    NamedBlocks,
+    SizeType,
+    TextType,
+)
 
 TENTH, MINUTE, HOUR = timedelta(milliseconds=100), timedelta(minutes=1), timedelta(hours=1)
 FOLDER = TextType("the path of a folder of its own")
@@ -70,7 +78,9 @@
     period: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=3)  # between two polls
     patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(seconds=1)
     # for an answer; three in a row that do not come, and another member is followed
-    home: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=60)  # between two looks at the own
+    home: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(
+        seconds=60
+    )  # between two looks at the own
     # zone's member, where another is followed
     rate: Annotated[int, SizeType(4096, 10**9)] = 200_000  # bytes a second asked for in a whole copy
     budget: Annotated[int, SizeType(1024, 10**9)] = 7000  # bytes a second in all else
--- a/willownotch/controlplane/shown.py
+++ b/willownotch/controlplane/shown.py
@@ -41,7 +41,8 @@
     if serving["missing"]:
         lines.append(f"not counted, since their members are not heard: {', '.join(serving['missing'])}")
     late, unheard = (
-        [[m, f, str(r), format_duration(s)] for m, f, r, s in serving[part]] for part in ("laggards", "unheard_names")
+        [[m, f, str(r), format_duration(s)] for m, f, r, s in serving[part]]
+        for part in ("laggards", "unheard_names")
     )
     nacks = [[m, f, str(r), text] for m, f, r, text in serving["nacks"]]
     for what, count, heads, named in (
--- a/willownotch/handover/predecessor.py
+++ b/willownotch/handover/predecessor.py
@@ -23,11 +23,11 @@
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net.client_side import ClientSide
 from willownotch.net.clock import Clock, millis, seconds
+from willownotch.net.decision_loop import DecisionLoop
+from willownotch.net.endpoint_side import EndpointSide, IdleConnection, RelayEnded
 from willownotch.net.events import Flush, HandOver, Withdraw
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.pending import PendingReply
-from willownotch.net.endpoint_side import IdleConnection, RelayEnded, EndpointSide
 
 ASK_TIME = timedelta(seconds=1)  # for the other process's question
 STAND_TIME = timedelta(seconds=2)  # until the owner stands still between two rounds
@@ -59,7 +59,12 @@
         start: Callable[[str, Callable[[], None]], None],
     ) -> None:
         self.folder, self.lock, self.clock, self.log, self.lifecycle = folder, lock, clock, log, lifecycle
-        self.decision_loop, self.endpoint_side, self.client_side, self.bodies = decision_loop, endpoint_side, client_side, bodies
+        self.decision_loop, self.endpoint_side, self.client_side, self.bodies = (
+            decision_loop,
+            endpoint_side,
+            client_side,
+            bodies,
+        )
         self.start = start
         self._version = version()  # of what runs here, whatever the files say by then
         self._pause = threading.Event()  # never set: a wait of a moment
--- a/willownotch/handover/state.py
+++ b/willownotch/handover/state.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 
 from willownotch.control import Controller
-from willownotch.journal.records import MessageEnded, Entry, Record, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, Record
 from willownotch.net.config import Config
 from willownotch.net.registry import Host
 
--- a/willownotch/handover/successor.py
+++ b/willownotch/handover/successor.py
@@ -20,10 +20,10 @@
 from willownotch.handover.wire import LOCK_WANTED, BadFrameError, Frame, Kind, Link, address
 from willownotch.net.client_side import ClientSide
 from willownotch.net.clock import Clock, seconds
+from willownotch.net.decision_loop import DecisionLoop
+from willownotch.net.endpoint_side import EndpointSide, IdleConnection, Relay
 from willownotch.net.events import RemoteEnded, Withdraw
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import DecisionLoop
-from willownotch.net.endpoint_side import IdleConnection, Relay, EndpointSide
 
 ANSWER_TIME = timedelta(seconds=6)  # for the old one to finish what it must and to pack everything
 LOCK_TIME = timedelta(seconds=2)  # from its word until the lock is free
@@ -112,7 +112,10 @@
             link,
             listener,
             state,
-            [(number, IdleConnection(sock, since)) for (number, since), sock in zip(state.idle, kept, strict=True)],
+            [
+                (number, IdleConnection(sock, since))
+                for (number, since), sock in zip(state.idle, kept, strict=True)
+            ],
         )
 
 
@@ -120,7 +123,12 @@
     """Goes on hearing the old process until it ends: clients, and the ends of its calls."""
 
     def __init__(
-        self, inherited: Inherited, log: Log, decision_loop: DecisionLoop, endpoint_side: EndpointSide, client_side: ClientSide
+        self,
+        inherited: Inherited,
+        log: Log,
+        decision_loop: DecisionLoop,
+        endpoint_side: EndpointSide,
+        client_side: ClientSide,
     ) -> None:
         self.link, self.log, self.decision_loop, self.endpoint_side, self.client_side = (
             inherited.link,
--- a/willownotch/handover/wire.py
+++ b/willownotch/handover/wire.py
@@ -37,7 +37,9 @@
     STATE = 3  # old to new: everything; the listening socket and kept connections come along
     PLAIN = 4  # old to new: the same without an state: start from the journal
     TOOK = 5  # new to old: it is read, and can be used; with `LOCK_WANTED` it takes the lock as a descriptor
-    HANDED_OVER = 6  # old to new: it is yours from now on; the descriptor that holds the lock, if it was wanted
+    HANDED_OVER = (
+        6  # old to new: it is yours from now on; the descriptor that holds the lock, if it was wanted
+    )
     CLIENT = 7  # old to new: a client's connection, and the request that it has made, if any
     ENDED = 8  # old to new: a call that was out has ended
     WITHDRAWN = 9  # old to new: a client was gone before it could hear that its message was taken on
--- a/willownotch/interface.py
+++ b/willownotch/interface.py
@@ -434,4 +434,16 @@
     | Stopping
     | Timer
 )
-Action = Send | Refuse | Fail | CancelAttempt | Probe | CloseIdle | PublishJudgement | SetTimer | Subscribe | FetchList | Log
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | CancelAttempt
+    | Probe
+    | CloseIdle
+    | PublishJudgement
+    | SetTimer
+    | Subscribe
+    | FetchList
+    | Log
+)
--- a/willownotch/journal/records.py
+++ b/willownotch/journal/records.py
@@ -103,7 +103,9 @@
     place: Place
 
 
-Record = AcceptedMessage | RelayStarted | RelayFailed | MessageEnded | NoticeAnswered | RelaysCounted | BodyMoved
+Record = (
+    AcceptedMessage | RelayStarted | RelayFailed | MessageEnded | NoticeAnswered | RelaysCounted | BodyMoved
+)
 
 
 class Entry(msgspec.Struct):
@@ -119,7 +121,9 @@
     def size(self) -> int:
         """Bytes to keep for its records, those that may follow among them."""
         ref = self.message.ref
-        return self.message_record_size + end_room(ref) + (AHEAD + len(self.started)) * relay_record_bytes(ref)
+        return (
+            self.message_record_size + end_room(ref) + (AHEAD + len(self.started)) * relay_record_bytes(ref)
+        )
 
     def records(self) -> Iterator[Record]:
         """The fewest records that say the same."""
@@ -248,7 +252,9 @@
     elif isinstance(record, MessageEnded) and record.owes_notice():
         # What ends by a notice keeps its place, for its key's sake, but needs its body no more.
         entry.ended = record
-        entry.message = msgspec.structs.replace(entry.message, body=b"", legacy_file=None, place=None, unkept=False)
+        entry.message = msgspec.structs.replace(
+            entry.message, body=b"", legacy_file=None, place=None, unkept=False
+        )
         entry.message_record_size = len(frame(entry.message))
     else:
         del live[record.ref]
--- a/willownotch/lab/experiment/settings.py
+++ b/willownotch/lab/experiment/settings.py
@@ -8,7 +8,7 @@
 
 from willownotch.lab.model.baselines import POLICIES
 from willownotch.lab.model.scenario import Scenario
-from willownotch.settings.types import CountType, NestedBlock, ListType, NamedBlocks, ShareType, TextType
+from willownotch.settings.types import CountType, ListType, NamedBlocks, NestedBlock, ShareType, TextType
 
 
 class Experiment(msgspec.Struct, frozen=True):
--- a/willownotch/lab/load/settings.py
+++ b/willownotch/lab/load/settings.py
@@ -11,12 +11,12 @@
 from willownotch.settings.types import (
     ChoiceType,
     CountType,
-    NestedBlock,
+    DurationType,
     NamedBlocks,
+    NestedBlock,
     NumberType,
     ShareType,
     SizeType,
-    DurationType,
 )
 
 MS, HOUR, DAY = timedelta(milliseconds=1), timedelta(hours=1), timedelta(days=1)
@@ -84,7 +84,9 @@
     connections: Annotated[int, CountType(1, 60_000)] = 256  # to the target, of all workers together
     patience: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(seconds=30)  # for an answer
     retries: Annotated[int, CountType(0, 100)] = 0  # times that a message turned away comes again
-    retry_wait: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(milliseconds=500)  # where none is told
+    retry_wait: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(
+        milliseconds=500
+    )  # where none is told
     late_most: Annotated[timedelta, DurationType(MS, HOUR)] = timedelta(milliseconds=5)  # p99 of own lateness
     jump: Annotated[dict[str, Jump], NamedBlocks(Jump)] = {}
     ramp: Annotated[dict[str, Ramp], NamedBlocks(Ramp)] = {}
--- a/willownotch/lab/load/trace.py
+++ b/willownotch/lab/load/trace.py
@@ -133,7 +133,9 @@
     hand-in, as earlier versions wrote them, are left out."""
     from willownotch.journal.records import AcceptedMessage
 
-    taken = sorted((r for r in records if isinstance(r, AcceptedMessage) and r.at is not None), key=lambda r: r.at)
+    taken = sorted(
+        (r for r in records if isinstance(r, AcceptedMessage) and r.at is not None), key=lambda r: r.at
+    )
     rows = []
     for record in taken:
         rows.append(
--- a/willownotch/lab/model/baselines.py
+++ b/willownotch/lab/model/baselines.py
@@ -153,7 +153,10 @@
             return False
         if job.first_risky_at is None or job.cls.idempotency is Idempotency.SAFE:
             return True
-        return job.cls.idempotency is Idempotency.KEYED and self.now < job.first_risky_at + job.cls.dedup_window_s
+        return (
+            job.cls.idempotency is Idempotency.KEYED
+            and self.now < job.first_risky_at + job.cls.dedup_window_s
+        )
 
     def _first_of_key(self, job: Job) -> bool:
         key = job.message.key
--- a/willownotch/lab/model/node.py
+++ b/willownotch/lab/model/node.py
@@ -264,7 +264,11 @@
             self.ledger.breach("two endings", self.world.now, ref, what)
             return
         risky = [a for a in held.attempts if a.outcome is None or a.outcome in MAYBE]
-        if what == "refused" and risky and self.settings.classes[held.item.cls].idempotency is Idempotency.UNSAFE:
+        if (
+            what == "refused"
+            and risky
+            and self.settings.classes[held.item.cls].idempotency is Idempotency.UNSAFE
+        ):
             self.ledger.breach("handed back though it may have run", self.world.now, ref)
         self._over(held, what, retry_after_s)
 
@@ -298,7 +302,10 @@
         risky = [a for a in held.attempts if a.outcome is None or a.outcome in MAYBE]
         if risky and (
             cls.idempotency is Idempotency.UNSAFE
-            or (cls.idempotency is Idempotency.KEYED and now > risky[0].began_at + cls.dedup_window_s + EPSILON)
+            or (
+                cls.idempotency is Idempotency.KEYED
+                and now > risky[0].began_at + cls.dedup_window_s + EPSILON
+            )
         ):
             self.ledger.breach("repeat", now, item.ref, call)
         if cls.in_order and item.key is not None:
--- a/willownotch/lab/model/scenario.py
+++ b/willownotch/lab/model/scenario.py
@@ -13,12 +13,12 @@
 from willownotch.settings.types import (
     ChoiceType,
     CountType,
+    DurationType,
     Flag,
-    NestedBlock,
     NamedBlocks,
+    NestedBlock,
     NumberType,
     ShareType,
-    DurationType,
     YesNo,
 )
 
--- a/willownotch/lab/prices/trace.py
+++ b/willownotch/lab/prices/trace.py
@@ -22,8 +22,8 @@
 from willownotch.lab.prices import lines
 from willownotch.net.client_side import ClientSide, Reply
 from willownotch.net.decision_loop import DecisionLoop
+from willownotch.net.endpoint_side import EndpointSide, Relay
 from willownotch.net.registry import Platform
-from willownotch.net.endpoint_side import Relay, EndpointSide
 
 
 def say(line: lines.Traced) -> None:
@@ -39,7 +39,13 @@
         now, left = time.time(), (message.ends_at - self.clock.now()).total_seconds()
         say(
             lines.Came(
-                now, message.ref, message.message_class, message.tenant, message.destination, message.is_retry, left
+                now,
+                message.ref,
+                message.message_class,
+                message.tenant,
+                message.destination,
+                message.is_retry,
+                left,
             )
         )
         reply = super()._hand_in(message, read_at)
--- a/willownotch/lab/recovery/play.py
+++ b/willownotch/lab/recovery/play.py
@@ -13,22 +13,22 @@
 from willownotch.interface import (
     AttemptEnded,
     CancelAttempt,
-    Idempotency,
+    DestinationKind,
     Endpoint,
     EndpointList,
     Event,
     Fail,
-    DestinationKind,
+    Idempotency,
     Message,
     MessageClass,
     Outcome,
     PastAttempt,
     Refuse,
-    SlowStartRecords,
     Send,
+    SetTimer,
     Settings,
+    SlowStartRecords,
     Timer,
-    SetTimer,
 )
 from willownotch.lab.recovery.case import Case, Restart
 from willownotch.lab.recovery.destination import STEP_S, Destination, Window
@@ -195,7 +195,8 @@
                 PastAttempt(
                     out.endpoint,
                     self.now - out.sent_at,
-                    RAN_BY_OUTCOME[sender.ended.get((handed.ref, out.number), Outcome.TIMED_OUT)] is not Ran.NEVER,
+                    RAN_BY_OUTCOME[sender.ended.get((handed.ref, out.number), Outcome.TIMED_OUT)]
+                    is not Ran.NEVER,
                 )
                 for out in sender.attempts.get(handed.ref, ())
             )
--- a/willownotch/lease/settings.py
+++ b/willownotch/lease/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import CountType, ListType, NamedBlocks, DurationType, TextType
+from willownotch.settings.types import CountType, DurationType, ListType, NamedBlocks, TextType
 
 MOST = timedelta(minutes=10)
 
--- a/willownotch/net/client_side.py
+++ b/willownotch/net/client_side.py
@@ -25,14 +25,16 @@
 from willownotch.net.client_requests import RefusedError, read_message, rewrite_request
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
+from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.events import HandIn, MakeRoom, Verdict, Withdraw
 from willownotch.net.listening import listen
 from willownotch.net.log import Log
-from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.pending import PendingReply
 from willownotch.net.rules import Rules
 
-DECISION_TIMEOUT = timedelta(milliseconds=250)  # a client waits 400 ms: what is not taken up by then is turned away
+DECISION_TIMEOUT = timedelta(
+    milliseconds=250
+)  # a client waits 400 ms: what is not taken up by then is turned away
 PATIENCE_LEAST = timedelta(milliseconds=50)  # for what the process before had read, and had no time for
 CLAIMED_PATIENCE = timedelta(seconds=5)  # for what is being decided then: it may be owed already
 IDLE_TIME = timedelta(seconds=3)  # between requests: some clients ask once and stay for good
@@ -90,7 +92,13 @@
         listener: socket.socket | None = None,
     ) -> None:
         self.bodies, self.lifecycle = bodies, lifecycle
-        self.config, self.clock, self.log, self.decision_loop, self.start = config, clock, log, decision_loop, start
+        self.config, self.clock, self.log, self.decision_loop, self.start = (
+            config,
+            clock,
+            log,
+            decision_loop,
+            start,
+        )
         self.max_clients = clients_most(config)
         self._dropped: tuple[dict[str, Rules], datetime] = ({}, datetime.max.replace(tzinfo=UTC))
         self._clients: set[Client] = set()
@@ -182,7 +190,9 @@
             except OSError as fault:
                 self.log.say("accept", f"no connection could be taken: {fault}")
                 if fault.errno not in sockets.ACCEPT_RETRY_ERRORS:
-                    with self._clients_changed:  # descriptors are short: until one is free, or a moment has passed
+                    with (
+                        self._clients_changed
+                    ):  # descriptors are short: until one is free, or a moment has passed
                         self._clients_changed.wait(0.1)
 
     def _accept(self) -> None:
@@ -344,7 +354,9 @@
                 client.sock.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass  # the client has ended it
-        with self._clients_changed:  # who ends connections looks at them under this lock: never at a closed one
+        with (
+            self._clients_changed
+        ):  # who ends connections looks at them under this lock: never at a closed one
             self._clients.discard(client)
             self._stages.leave(client)
             client.sock.close()
--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -25,21 +25,24 @@
 from willownotch.control import Controller
 from willownotch.handover.state import HandoverState, OutstandingCall, OutstandingMessage
 from willownotch.journal import records as kept_records
-from willownotch.journal.records import RelayFailed, MessageEnded, Entry, Record, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, Record, RelayFailed
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net import bulk, http
 from willownotch.net.clock import ZERO, Clock, millis, seconds, span
 from willownotch.net.config import Config, ListUpdate
+from willownotch.net.decision_loop_replication import BACK_OFF, REMEMBERED, ReplicationMixin
+from willownotch.net.endpoint_side import END_MARGIN, Relay, RelayEnded
 from willownotch.net.events import (
     Answer,
     BodyLost,
-    Copied,
+    BookAcquired,
     BookExpired,
+    BookLost,
+    Copied,
     Flush,
     HandIn,
     HandOver,
     Item,
-    BookLost,
     MakeRoom,
     MayTell,
     Noticed,
@@ -47,24 +50,21 @@
     SettingsUpdate,
     SharedStateUpdate,
     TenantParts,
-    BookAcquired,
     Verdict,
     Withdraw,
 )
 from willownotch.net.journal import Journal, JournalFullError, JournalUnsureError
 from willownotch.net.log import Log
-from willownotch.net.decision_loop_replication import BACK_OFF, REMEMBERED, ReplicationMixin
 from willownotch.net.pending import PendingReply
 from willownotch.net.registry import Hosts, Notice
 from willownotch.net.rules import class_of
 from willownotch.net.slow_start_file import SlowStartFile
-from willownotch.net.endpoint_side import END_MARGIN, Relay, RelayEnded
 from willownotch.repeats import RAN_BY_OUTCOME
 from willownotch.state import Ran
 
 if TYPE_CHECKING:
     from willownotch.replica.service import Keeper
-    from willownotch.shared.service import EndpointFindings, BudgetParts, SharedState
+    from willownotch.shared.service import BudgetParts, EndpointFindings, SharedState
 
 FIRST_NEWS = timedelta(milliseconds=300)  # recovered messages wait so long for the watch's first word
 KILL_AFTER = timedelta(milliseconds=3500)  # SIGKILL comes no sooner after SIGTERM, with some margin
@@ -97,7 +97,9 @@
     """Whether two hand-ins under one id are of the same message; its time left differs each time."""
     fields = ("destination", "message_class", "tenant", "key", "idempotency_key")
     return all(getattr(one, name) == getattr(other, name) for name in fields) and (
-        one.body == other.body if one.place is None is other.place else size_and_checksum(one) == size_and_checksum(other)
+        one.body == other.body
+        if one.place is None is other.place
+        else size_and_checksum(one) == size_and_checksum(other)
     )
 
 
@@ -144,7 +146,9 @@
         self._timers: list[tuple[datetime, int, int | Relay]] = []
         self._order = itertools.count()
         self._outstanding: dict[str, Owed] = {}
-        self._unanswered: dict[str, tuple[AcceptedMessage, MessageEnded]] = {}  # messages whose notice is not answered yet
+        self._unanswered: dict[
+            str, tuple[AcceptedMessage, MessageEnded]
+        ] = {}  # messages whose notice is not answered yet
         self._gates: dict[str, set[str]] = {}  # of a key, those of them: its next relay waits
         self._gated: dict[str, list[Relay]] = {}
         self._ended: dict[str, datetime] = {}  # ids that are over, until when they are remembered
@@ -265,7 +269,11 @@
 
     def remote_calls(self) -> int:
         """Calls that the process before this one has out; any thread may ask."""
-        return sum(relay.remote for owed in list(self._outstanding.values()) for relay in list(owed.active_relays.values()))
+        return sum(
+            relay.remote
+            for owed in list(self._outstanding.values())
+            for relay in list(owed.active_relays.values())
+        )
 
     def cancel_remote(self, ref: str, number: int) -> None:
         """Have the process before this one stop waiting for a call, if it is one of its; any thread may."""
@@ -309,7 +317,9 @@
             self._owe_notice(message, ended)
         for ref in self.lost_bodies:
             self.post(BodyLost(ref))
-        remote = sum(relay.remote for owed in self._outstanding.values() for relay in owed.active_relays.values())
+        remote = sum(
+            relay.remote for owed in self._outstanding.values() for relay in owed.active_relays.values()
+        )
         self.log.say(
             "upgrade",
             f"taken over: {self._open} messages owed, {remote} calls out in the process "
@@ -609,9 +619,13 @@
         if self._repeatable(message):
             return False
         known, ended = self._outstanding.get(message.ref), self._unanswered.get(message.ref, (None, None))[1]
-        return (known is not None and bool(known.active_relays)) or (ended is not None and ended.outcome == "given_up")
+        return (known is not None and bool(known.active_relays)) or (
+            ended is not None and ended.outcome == "given_up"
+        )
 
-    def _record_fits(self, message: AcceptedMessage, fresh: list[Owed], now: datetime, events: list[api.Event]) -> bool:
+    def _record_fits(
+        self, message: AcceptedMessage, fresh: list[Owed], now: datetime, events: list[api.Event]
+    ) -> bool:
         """Whether a message's record has room, if need be at the cost of what may be dropped."""
         wanted = [*(owed.message for owed in fresh), message]
         if self.journal.fits(wanted):
@@ -629,12 +643,22 @@
         for owed in islice(self._outstanding.values(), LOOKED_AT):
             message = owed.message
             plan = plans.get(message.message_class)
-            if plan is None or not plan.body_settings.drop or owed.over or owed.active_relays or owed.pending is not None:
+            if (
+                plan is None
+                or not plan.body_settings.drop
+                or owed.over
+                or owed.active_relays
+                or owed.pending is not None
+            ):
                 continue
             dest = message.destination
             if dest not in expected_wait_s:
                 expected_wait_s[dest] = self.bodies.expected_wait_s(dest)
-            found.append(Candidate(message.ref, message.message_class, dest, message.body_size(), expected_wait_s[dest]))
+            found.append(
+                Candidate(
+                    message.ref, message.message_class, dest, message.body_size(), expected_wait_s[dest]
+                )
+            )
         return found
 
     def _make_room(self, item: MakeRoom, now: datetime, events: list[api.Event]) -> None:
@@ -651,7 +675,9 @@
         for candidate in chosen:
             self._drop(candidate, message, now, events)
 
-    def _drop(self, candidate: Candidate, message: AcceptedMessage, now: datetime, events: list[api.Event]) -> None:
+    def _drop(
+        self, candidate: Candidate, message: AcceptedMessage, now: datetime, events: list[api.Event]
+    ) -> None:
         self._end_without_body(
             self._outstanding[candidate.ref],
             f"of {candidate.size} bytes makes room for {message.message_class} " f"{message.ref}",
@@ -698,7 +724,9 @@
             known.confirmed = True
             item.pending.settle(Answer(Verdict.ACCEPTED))
 
-    def _message(self, message: AcceptedMessage, now: datetime, past: tuple[api.PastAttempt, ...] = ()) -> api.Message:
+    def _message(
+        self, message: AcceptedMessage, now: datetime, past: tuple[api.PastAttempt, ...] = ()
+    ) -> api.Message:
         return api.Message(
             message.ref,
             message.destination,
@@ -726,13 +754,22 @@
     def _remote_ended(self, item: RemoteEnded, now: datetime) -> list[RelayEnded]:
         """What the process before this one tells of its calls. Untold at its end, they may have run."""
         if item.gone:
-            left = [relay for owed in self._outstanding.values() for relay in owed.active_relays.values() if relay.remote]
+            left = [
+                relay
+                for owed in self._outstanding.values()
+                for relay in owed.active_relays.values()
+                if relay.remote
+            ]
             if left:
                 self.log.say(
                     "upgrade", f"the process before is gone with {len(left)} calls out: they may " "have run"
                 )
             return [RelayEnded(relay, api.Outcome.BROKEN, now - relay.begun_at) for relay in left]
-        relay = self._outstanding[item.ref].active_relays.get(item.number) if item.ref in self._outstanding else None
+        relay = (
+            self._outstanding[item.ref].active_relays.get(item.number)
+            if item.ref in self._outstanding
+            else None
+        )
         if relay is None or not relay.remote:
             return []
         item.ended.relay = relay
@@ -926,7 +963,11 @@
         elif isinstance(action, api.SetTimer):
             heapq.heappush(self._timers, (now + span(action.after_s), next(self._order), action.label))
         elif isinstance(action, api.CancelAttempt):
-            relay = self._outstanding[action.ref].active_relays.get(action.attempt) if action.ref in self._outstanding else None
+            relay = (
+                self._outstanding[action.ref].active_relays.get(action.attempt)
+                if action.ref in self._outstanding
+                else None
+            )
             if relay is not None:
                 self.cancel(relay)
         elif isinstance(action, api.CloseIdle):
@@ -982,7 +1023,9 @@
         open_calls: dict[int, tuple[list[Relay], int]] = {}  # by host: the last one, and its bytes
         for relay in self._leaving:
             most = self.settings.kinds[relay.host.kind].batch
-            size = relay.message.body_size() + bulk.line_room(relay.message.ref, relay.message.idempotency_key)
+            size = relay.message.body_size() + bulk.line_room(
+                relay.message.ref, relay.message.idempotency_key
+            )
             line, bytes_before = open_calls.get(relay.host.number, ([], 0))
             if not line or len(line) >= most or bytes_before + size > BULK_MOST:
                 line, bytes_before = [], 0
--- a/willownotch/net/decision_loop_replication.py
+++ b/willownotch/net/decision_loop_replication.py
@@ -12,10 +12,10 @@
 
 from willownotch import interface as api
 from willownotch.journal import records as kept_records
-from willownotch.journal.records import MessageEnded, Entry, Record, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, Record
+from willownotch.net.endpoint_side import RelayEnded
 from willownotch.net.events import Answer, Copied, Verdict
 from willownotch.net.journal import JournalFullError
-from willownotch.net.endpoint_side import RelayEnded
 
 if TYPE_CHECKING:
     from willownotch.net.decision_loop import Owed
@@ -35,7 +35,9 @@
         ref, pending, owed.copying = owed.message.ref, owed.pending, True
         since = self.clock.now() - (owed.message.at or self.clock.now())
         patience = max(COPY_LEAST, min(self.custody.settings.patience, COPY_MOST - since))
-        self.custody.wait(owed.message.custody, patience, True, lambda ok: self.post(Copied(ref, pending, ok)))
+        self.custody.wait(
+            owed.message.custody, patience, True, lambda ok: self.post(Copied(ref, pending, ok))
+        )
 
     def _copied(self, item: Copied, now: datetime, events: list[api.Event], records: list[Record]) -> None:
         owed = self._outstanding.get(item.ref)
@@ -68,8 +70,12 @@
         local = self._in_book(won.book)
         found = {entry.message.ref: entry for _, entry in won.entries}
         # Of what this folder alone has, enough copies would know if it were still owed.
-        kept = {ref: e for ref, e in local.items() if ref not in found and not won.sure(e.message.custody.acks)}
-        known = [ref for ref in found if ref in self._outstanding or ref in self._ended or ref in self._unanswered]
+        kept = {
+            ref: e for ref, e in local.items() if ref not in found and not won.sure(e.message.custody.acks)
+        }
+        known = [
+            ref for ref in found if ref in self._outstanding or ref in self._ended or ref in self._unanswered
+        ]
         taken = [entry for ref, entry in found.items() if ref not in known]
         unsure = [e for e in taken if e.ended is None and not won.sure(e.message.custody.acks)]
         orphans = [
@@ -99,7 +105,8 @@
         more: list[Record] = [r for entry in kept.values() for r in entry.records()]
         more += [kept_records.RelayStarted(e.message.ref, e.count(), now, UNKNOWN_HOST) for e in unsure]
         more += [
-            AcceptedMessage(ref, 0, "", "", at, custody=kept_records.Custody(won.book, 1)) for ref, at in ends.items()
+            AcceptedMessage(ref, 0, "", "", at, custody=kept_records.Custody(won.book, 1))
+            for ref, at in ends.items()
         ]
         more += [MessageEnded(ref, "given_up") for ref in orphans]
         self._write(more)
@@ -154,7 +161,9 @@
     def _expire(self, expired: Expired, now: datetime) -> None:
         """Tell the ends that nobody else will: past a deadline no sender delivers any more."""
         fresh = [entry.message for entry in expired.entries] + [
-            entry.message if (entry := self.journal.live.get(ref)) is not None else AcceptedMessage(ref, 0, "", "", now)
+            entry.message
+            if (entry := self.journal.live.get(ref)) is not None
+            else AcceptedMessage(ref, 0, "", "", now)
             for ref in expired.refs
         ]
         told = 0
@@ -163,7 +172,11 @@
             if ref in self._outstanding or ref in self._unanswered or ref in self._ended:
                 continue
             bare = msgspec.structs.replace(taken, body=b"", place=None, legacy_file=None, custody=None)
-            ended = entry.ended if entry is not None and entry.ended is not None else MessageEnded(ref, "given_up")
+            ended = (
+                entry.ended
+                if entry is not None and entry.ended is not None
+                else MessageEnded(ref, "given_up")
+            )
             self._write([bare, ended] if entry is None else [ended] if entry.ended is None else [])
             self._ended[ref] = now + REMEMBERED
             self._owe_notice(bare, ended)
--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -15,7 +15,7 @@
 
 from willownotch.bodies.store import Bodies, BodyLostError
 from willownotch.interface import Idempotency, Outcome
-from willownotch.journal.records import RelayStarted, AcceptedMessage
+from willownotch.journal.records import AcceptedMessage, RelayStarted
 from willownotch.net import bulk, http, sockets
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
--- a/willownotch/net/events.py
+++ b/willownotch/net/events.py
@@ -14,12 +14,12 @@
 from willownotch.journal.records import AcceptedMessage
 from willownotch.net.clock import ZERO
 from willownotch.net.config import Config, ListUpdate
-from willownotch.net.pending import PendingReply
 from willownotch.net.endpoint_side import RelayEnded
+from willownotch.net.pending import PendingReply
 
 if TYPE_CHECKING:
     from willownotch.replica.core import Expired, Lost, Won
-    from willownotch.shared.service import EndpointFindings, BudgetParts
+    from willownotch.shared.service import BudgetParts, EndpointFindings
 
 
 class Verdict(Enum):
--- a/willownotch/net/folder.py
+++ b/willownotch/net/folder.py
@@ -10,7 +10,7 @@
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
 from willownotch.interface import MessageClass
-from willownotch.journal.records import Entry, BodyMoved
+from willownotch.journal.records import BodyMoved, Entry
 from willownotch.net.clock import Clock
 from willownotch.net.journal import Journal
 from willownotch.net.log import Log
--- a/willownotch/net/http.py
+++ b/willownotch/net/http.py
@@ -10,7 +10,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_HEAD_BYTES, MAX_BODY_BYTES, MAX_CHUNK_LINE_BYTES = 16 * 1024, 64 * 1024, 1024  # bytes: a head, a body, a chunk-size line
+MAX_HEAD_BYTES, MAX_BODY_BYTES, MAX_CHUNK_LINE_BYTES = (
+    16 * 1024,
+    64 * 1024,
+    1024,
+)  # bytes: a head, a body, a chunk-size line
 HEADERS_MOST = 100
 REWRITTEN_HEAD_SLACK_BYTES = 256  # what a head may grow by as it is written again: spaces, a host, a length
 READ_BYTES = 65536  # bytes asked of a socket at a time; at half of it, floods cost more rounds of parsing
@@ -164,7 +168,11 @@
     """
 
     def __init__(
-        self, answer: bool, body_most: int = MAX_BODY_BYTES, stream: bool = False, optional: tuple[bytes, ...] = ()
+        self,
+        answer: bool,
+        body_most: int = MAX_BODY_BYTES,
+        stream: bool = False,
+        optional: tuple[bytes, ...] = (),
     ) -> None:
         self.answer, self.body_most, self.stream, self.optional = answer, body_most, stream, optional
         self.slack = 0  # bytes and lines of a head that another process's writer may have added
--- a/willownotch/net/journal.py
+++ b/willownotch/net/journal.py
@@ -19,18 +19,18 @@
 from willownotch.files.layer import REAL, Files
 from willownotch.files.space import Space
 from willownotch.journal.records import (
-    MessageEnded,
-    Entry,
+    AcceptedMessage,
     BodyMoved,
-    RelayStarted,
+    Entry,
+    MessageEnded,
     Record,
-    AcceptedMessage,
+    RelayStarted,
     apply,
+    bytes_to_reserve,
     frame,
     rebase_future_times,
     relay_record_bytes,
     replay,
-    bytes_to_reserve,
 )
 
 NAME, NEW_NAME = "journal", "journal.new"
@@ -184,7 +184,9 @@
             self._held()
             # The file may only grow so far that a new one still fits beside it.
             most = self.space.max_journal_size(self.live_size)
-            if isinstance(records[0], RelayStarted) and most < self.live_size + relay_record_bytes(records[0].ref):
+            if isinstance(records[0], RelayStarted) and most < self.live_size + relay_record_bytes(
+                records[0].ref
+            ):
                 raise JournalFullError("what is left is kept for the ends of messages")
             if self._torn or self.size + len(data) > most:
                 self._rewrite()
--- a/willownotch/net/listening.py
+++ b/willownotch/net/listening.py
@@ -12,7 +12,9 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         # Connections inherit it. Without it those that linger keep the next process off the address.
-        sockets.retry_transient("setsockopt", lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1))
+        sockets.retry_transient(
+            "setsockopt", lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        )
         sock.bind(address)
         sock.listen(backlog)
         sock.setblocking(False)
--- a/willownotch/net/registry.py
+++ b/willownotch/net/registry.py
@@ -22,7 +22,9 @@
 # What discovery has to tell counts as told 6 s later, if it could be reached, and a little after that nothing
 # more may go to an endpoint that it says is gone. Within that a silent watch is noticed, made anew and heard.
 LIST_CHANGE_GRACE = timedelta(seconds=6)
-SILENCE_TIMEOUT = timedelta(seconds=3)  # a watch ends a line every 2 s: half as late again, and it is made anew
+SILENCE_TIMEOUT = timedelta(
+    seconds=3
+)  # a watch ends a line every 2 s: half as late again, and it is made anew
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
 # An agent on this machine answers at once and for nothing, and what it has counts as told: it is asked often.
 # A service for all senders answers one after the other, for a price, and with 503 what waits for too long.
@@ -31,7 +33,9 @@
 MAX_RETRY_DELAY_AGENT = timedelta(milliseconds=300)  # the most, where an agent is asked
 CALL_EACH = timedelta(milliseconds=200)  # x other senders: a service short of time answers each within that
 CALL_LEAST = timedelta(milliseconds=5)  # however soon the last one was answered
-AGAIN_LONG = LIST_CHANGE_GRACE - CONNECT_TIMEOUT - SERVICE_FIRST_DATA_TIMEOUT  # the most, if all can be answered
+AGAIN_LONG = (
+    LIST_CHANGE_GRACE - CONNECT_TIMEOUT - SERVICE_FIRST_DATA_TIMEOUT
+)  # the most, if all can be answered
 MAX_RETRY_DELAY_AFTER_SILENCE = AGAIN_LONG - SILENCE_TIMEOUT  # and after a silence, which has taken its time
 # A service that is down refuses at once. One that is asked by too many lets them wait, and wants them apart.
 MAX_RETRY_DELAY_BUSY, BUSY_AFTER = timedelta(seconds=30), timedelta(milliseconds=300)
--- a/willownotch/net/rules.py
+++ b/willownotch/net/rules.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from willownotch.interface import Idempotency, DedupScope, MessageClass
+from willownotch.interface import DedupScope, Idempotency, MessageClass
 
 
 class Rules(msgspec.Struct, frozen=True, array_like=True):
--- a/willownotch/net/slow_start_file.py
+++ b/willownotch/net/slow_start_file.py
@@ -14,7 +14,7 @@
 
 from willownotch.files.layer import Files
 from willownotch.files.replacing import replace_file
-from willownotch.interface import SlowStartRecords, SlowStartRecord
+from willownotch.interface import SlowStartRecord, SlowStartRecords
 from willownotch.net.clock import ZERO, Clock
 from willownotch.net.log import Log
 
--- a/willownotch/peers/settings.py
+++ b/willownotch/peers/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import AddressType, CountType, ListType, SizeType, DurationType, TextType
+from willownotch.settings.types import AddressType, CountType, DurationType, ListType, SizeType, TextType
 
 TENTH, HOUR = timedelta(milliseconds=100), timedelta(hours=1)
 
@@ -23,7 +23,9 @@
     seeds: Annotated[tuple[tuple[str, int], ...], ListType(AddressType())] = ()
     budget: Annotated[int, SizeType(4096, 10**9)] = 128_000  # bytes sent a second at the most
     period: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=1)  # between two probes
-    patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(milliseconds=500)
+    patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(
+        milliseconds=500
+    )
     indirect: Annotated[int, CountType(0, 10)] = 3  # members asked to probe for us
     suspicion: Annotated[int, CountType(1, 20)] = 4  # x period x log10(members): until a suspect is dead
     suspicion_most: Annotated[int, CountType(1, 20)] = 6  # x that, while no other member suspects it too
--- a/willownotch/repeats.py
+++ b/willownotch/repeats.py
@@ -7,7 +7,7 @@
 
 from willownotch import interface as api
 from willownotch.concurrency_limit import TICK_S
-from willownotch.interface import Idempotency, DedupScope, Outcome
+from willownotch.interface import DedupScope, Idempotency, Outcome
 from willownotch.state import Job, Ran, Route
 
 # The one table of what an outcome proves an attempt to have done.
@@ -17,7 +17,11 @@
 
 def may_refuse(job: Job) -> bool:
     """Whether handing it back is harmless: nothing ran, or a repeat does nothing anywhere."""
-    known = job.cls.idempotency is Idempotency.KEYED and job.cls.dedup_scope is DedupScope.ALL and not job.outstanding()
+    known = (
+        job.cls.idempotency is Idempotency.KEYED
+        and job.cls.dedup_scope is DedupScope.ALL
+        and not job.outstanding()
+    )
     return known or job.cls.idempotency is Idempotency.SAFE or not job.tainted()
 
 
--- a/willownotch/replica/copies.py
+++ b/willownotch/replica/copies.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from willownotch.journal.records import Entry, RelayStarted, AcceptedMessage, apply, frame, read_frames
+from willownotch.journal.records import AcceptedMessage, Entry, RelayStarted, apply, frame, read_frames
 from willownotch.replica.wire import START, About, Append, Fill, Position
 
 RANGES = 64
@@ -73,7 +73,9 @@
 def shifted(entry: Entry, by: timedelta) -> Entry:
     """The same, in the times of another clock."""
     message = entry.message
-    message = msgspec.structs.replace(message, ends_at=message.ends_at + by, at=message.at and message.at + by)
+    message = msgspec.structs.replace(
+        message, ends_at=message.ends_at + by, at=message.at and message.at + by
+    )
     opened = {n: RelayStarted(o.ref, o.number, o.at + by, o.host) for n, o in entry.started.items()}
     return Entry(message, entry.message_record_size, opened, entry.failed, entry.counted_relays, entry.ended)
 
--- a/willownotch/replica/service.py
+++ b/willownotch/replica/service.py
@@ -22,8 +22,8 @@
 from willownotch.bodies.store import BodyLostError
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
+from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, NoticeAnswered, Record, frame
 from willownotch.journal.records import Custody as Mark
-from willownotch.journal.records import MessageEnded, Entry, NoticeAnswered, Record, AcceptedMessage, frame
 from willownotch.links.edge import Edge, Kind
 from willownotch.replica import core as cores
 from willownotch.replica import wire
@@ -339,7 +339,9 @@
         if isinstance(item, Wrote):
             opened = {r.ref: r.ends_at for r in item.records if isinstance(r, AcceptedMessage)}
             ended = [r.ref for r in item.records if over(r)]
-            frames = tuple(frame(self._whole(r) if isinstance(r, AcceptedMessage) else r) for r in item.records)
+            frames = tuple(
+                frame(self._whole(r) if isinstance(r, AcceptedMessage) else r) for r in item.records
+            )
             return self.core.wrote(now, item.book, frames, opened, ended)
         if isinstance(item, threading.Event):
             return self.core.release(now)
@@ -529,4 +531,6 @@
 
 def over(record: Record) -> bool:
     """Whether nothing is owed of a message behind this record."""
-    return isinstance(record, NoticeAnswered) or (isinstance(record, MessageEnded) and not record.owes_notice())
+    return isinstance(record, NoticeAnswered) or (
+        isinstance(record, MessageEnded) and not record.owes_notice()
+    )
--- a/willownotch/replica/settings.py
+++ b/willownotch/replica/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import CountType, NamedBlocks, ShareType, SizeType, DurationType
+from willownotch.settings.types import CountType, DurationType, NamedBlocks, ShareType, SizeType
 
 MOST = 8  # replicas and acknowledgements
 
--- a/willownotch/replica/simulated.py
+++ b/willownotch/replica/simulated.py
@@ -14,7 +14,17 @@
 
 import msgspec
 
-from willownotch.journal.records import RelayFailed, Custody, MessageEnded, Entry, RelayStarted, Record, AcceptedMessage, apply, frame
+from willownotch.journal.records import (
+    AcceptedMessage,
+    Custody,
+    Entry,
+    MessageEnded,
+    Record,
+    RelayFailed,
+    RelayStarted,
+    apply,
+    frame,
+)
 from willownotch.replica import core as cores
 from willownotch.replica import wire
 from willownotch.replica.copies import Copy
@@ -206,7 +216,9 @@
         for order, entry in won.entries:
             ref = entry.message.ref
             if not won.sure(entry.message.custody.acks) and entry.ended is None:
-                entry.started[entry.count()] = RelayStarted(ref, entry.count(), self.fleet.wall(self.name), "?")
+                entry.started[entry.count()] = RelayStarted(
+                    ref, entry.count(), self.fleet.wall(self.name), "?"
+                )
             self.disk.live[ref], self.disk.order[ref] = entry, order
             if entry.ended is not None:
                 self.ends[ref] = won.book, won.last
--- a/willownotch/settings/reader.py
+++ b/willownotch/settings/reader.py
@@ -14,7 +14,7 @@
 import lark
 import msgspec
 
-from willownotch.settings.types import NestedBlock, ListType, NamedBlocks, InvalidValueError, block_settings
+from willownotch.settings.types import InvalidValueError, ListType, NamedBlocks, NestedBlock, block_settings
 
 GRAMMAR = r"""
 start: (opening | closing | setting)?
--- a/willownotch/shared/settings.py
+++ b/willownotch/shared/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import CountType, Flag, ListType, ShareType, DurationType, TextType, YesNo
+from willownotch.settings.types import CountType, DurationType, Flag, ListType, ShareType, TextType, YesNo
 
 HALF = timedelta(milliseconds=500)
 
--- a/willownotch/usage/settings.py
+++ b/willownotch/usage/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from willownotch.settings.types import CountType, Flag, ShareType, DurationType, YesNo
+from willownotch.settings.types import CountType, DurationType, Flag, ShareType, YesNo
 
 TENTH, HOUR, DAY = timedelta(milliseconds=100), timedelta(hours=1), timedelta(days=1)
 
@@ -16,7 +16,9 @@
     """How usage is counted and shared."""
 
     count: YesNo = Flag.NO
-    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), HOUR)] = timedelta(milliseconds=200)
+    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), HOUR)] = timedelta(
+        milliseconds=200
+    )
     fanout: Annotated[int, CountType(1, 16)] = 3  # instances asked in each exchange
     pieces: Annotated[int, CountType(1, 64)] = 8  # datagrams of one answer at the most
     rows: Annotated[int, CountType(1, 10**6)] = 20_000  # tenants x classes counted apart; the rest is one row
@@ -24,7 +26,9 @@
     long_window: Annotated[timedelta, DurationType(timedelta(seconds=1), DAY)] = timedelta(seconds=60)
     growth: Annotated[float, ShareType(1.0, 10.0)] = 1.5  # x the peak rate: what an unseen stretch may have
     settle: Annotated[timedelta, DurationType(timedelta(seconds=1), DAY)] = HOUR  # closed lives
-    gone: Annotated[timedelta, DurationType(timedelta(seconds=2), 30 * DAY)] = DAY  # lives that nobody hears of
+    gone: Annotated[timedelta, DurationType(timedelta(seconds=2), 30 * DAY)] = (
+        DAY  # lives that nobody hears of
+    )
     share_quotas: YesNo = Flag.NO  # whether the decisions are told this instance's part of each quota
     own_share: Annotated[float, ShareType()] = 0.5  # of a tenant's rest that is shared by load, not evenly
 
