--- a/benchmarks/capacity/list_watch.py
+++ b/benchmarks/capacity/list_watch.py
@@ -162,7 +162,8 @@
                     "destinations",
                     most,
                     DESTINATIONS,
-                    f"a list of over {MAX_WATCH_LIST_BYTES} bytes, at {each:.0f} bytes an endpoint, is refused, and "
+                    f"a list of over {MAX_WATCH_LIST_BYTES} bytes, at {each:.0f} bytes an endpoint, is "
+                    "refused, and "
                     "the last one kept",
                 )
             ],
--- a/willownotch/channel/tables.py
+++ b/willownotch/channel/tables.py
@@ -170,7 +170,8 @@
     return "\n".join(
         [
             f"{found['name']}: owns {found['own']:.1%} of each budget; a loan ends after "
-            f"{format_duration(found['loan_s'])}, what is found of an endpoint after {format_duration(found['judgement_s'])}",
+            f"{format_duration(found['loan_s'])}, what is found of an endpoint after "
+            f"{format_duration(found['judgement_s'])}",
             table(["BUDGET", "PER S", "PART", "LENT", "BORROWED", "DEMAND"], budgets)
             if budgets
             else "no budgets",
