--- a/willownotch/lab/twin/servers.py
+++ b/willownotch/lab/twin/servers.py
@@ -37,7 +37,7 @@
 
     def _ready(self) -> None:
         try:
-            data = self.sock.recv(http.READ)
+            data = self.sock.recv(http.READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
