--- a/willownotch/settings/reader.py
+++ b/willownotch/settings/reader.py
@@ -1,7 +1,7 @@
-"""Reads a settings file: lark's grammar for a line, then blocks, then typed values. No mistake hides another.
+"""Reads a settings file: a lark grammar for one line, then nested blocks, then typed values.
 
-The format is line-based, so each line is parsed by itself: a line that cannot be read costs only itself, and
-all that is wrong is told in one go.
+The format is line-based, so each line is parsed on its own: a line that cannot be parsed does not hide the
+errors of other lines, and all errors are reported together.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 %ignore WS_INLINE
 %ignore COMMENT
 """
-MOST_LINES = 10_000
-EXPECTED = {
+MAX_LINES = 10_000
+TOKEN_DESCRIPTIONS = {
     "WORD": "a word",
     "STRING": "a text in quotes",
     "LBRACE": "'{'",
@@ -42,16 +42,16 @@
 
 
 class SettingsError(ValueError):
-    """All mistakes of a file, a line each."""
+    """All errors of a settings file, one line each."""
 
-    def __init__(self, mistakes: list[str]) -> None:
-        super().__init__("\n".join(mistakes))
-        self.mistakes = mistakes
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("\n".join(errors))
+        self.errors = errors
 
 
 @dataclass
 class Setting:
-    """A line `word value ...`, and where it stands."""
+    """A line `word value ...` with its position; lines and columns count from 1."""
 
     line: int
     column: int
@@ -61,7 +61,7 @@
 
 @dataclass
 class Block:
-    """An open block: its own line, and what it holds."""
+    """A block: its opening line, the settings in it and the blocks nested in it."""
 
     head: Setting
     settings: list[Setting] = field(default_factory=list)
@@ -69,53 +69,58 @@
 
 
 class Reader:
-    """One file being read; `mistakes` collects (line, column, text)."""
+    """Reads one file. Errors do not stop it: `errors` collects them as (line, column, text)."""
 
     def __init__(self) -> None:
-        self.mistakes: list[tuple[int, int, str]] = []
+        self.errors: list[tuple[int, int, str]] = []
 
-    def fault(self, line: int, column: int, text: str) -> None:
-        """Note a mistake."""
-        self.mistakes.append((line, column, text))
+    def add_error(self, line: int, column: int, text: str) -> None:
+        """Records an error at a position."""
+        self.errors.append((line, column, text))
 
-    def blocks(self, text: str) -> Block:
-        """The file's lines as nested blocks."""
+    def parse(self, text: str) -> Block:
+        """Parses a file's text into a root block that holds the top-level settings and blocks."""
         root = Block(Setting(1, 1, "", []))
         stack = [root]
         lines = text.splitlines()
-        if len(lines) > MOST_LINES:
-            self.fault(MOST_LINES + 1, 1, f"too long, allowed: {MOST_LINES} lines")
-        for number, line in enumerate(lines[:MOST_LINES], 1):
-            self._line(number, line, stack)
+        if len(lines) > MAX_LINES:
+            self.add_error(MAX_LINES + 1, 1, f"too long, allowed: {MAX_LINES} lines")
+        for number, line in enumerate(lines[:MAX_LINES], 1):
+            self._parse_line(number, line, stack)
         for block in stack[1:]:
             head = block.head
-            self.fault(head.line, head.column, f"block '{head.word}' is not closed, wanted: '}}'")
+            self.add_error(head.line, head.column, f"block '{head.word}' is not closed, wanted: '}}'")
         return root
 
-    def _line(self, number: int, line: str, stack: list[Block]) -> None:
+    def _parse_line(self, number: int, line: str, stack: list[Block]) -> None:
+        """Adds a line to the innermost open block, the last of `stack`, or opens or closes a block."""
         try:
             found = _parser.parse(line).children
-        except lark.UnexpectedToken as fault:
-            wanted = " or ".join(sorted(EXPECTED.get(name, name) for name in fault.expected))
-            self.fault(number, max(1, fault.column), f"unexpected {str(fault.token)!r}, allowed: {wanted}")
+        except lark.UnexpectedToken as error:
+            wanted = " or ".join(sorted(TOKEN_DESCRIPTIONS.get(name, name) for name in error.expected))
+            self.add_error(
+                number, max(1, error.column), f"unexpected {str(error.token)!r}, allowed: {wanted}"
+            )
             return
-        except lark.UnexpectedCharacters as fault:
-            self.fault(
+        except lark.UnexpectedCharacters as error:
+            self.add_error(
                 number,
-                max(1, fault.column),
-                f"unexpected {line[fault.column - 1]!r}, "
+                max(1, error.column),
+                f"unexpected {line[error.column - 1]!r}, "
                 "allowed: words, or a text in quotes that is closed",
             )
             return
         except lark.UnexpectedEOF:
-            self.fault(number, len(line) + 1, "the line breaks off, allowed: a word with its values")
+            self.add_error(
+                number, len(line) + 1, "unexpected end of the line, allowed: a word with its values"
+            )
             return
         if not found:
             return
         kind, parts = found[0].data, found[0].children
         if kind == "closing":
             if len(stack) == 1:
-                self.fault(number, 1, "'}' closes nothing, allowed: a word with its values")
+                self.add_error(number, 1, "'}' without an open block, allowed: a word with its values")
             else:
                 stack.pop()
             return
@@ -128,122 +133,127 @@
         else:
             stack[-1].settings.append(setting)
 
-    def fill(self, block: Block, kind: type[msgspec.Struct]) -> Any:
-        """A block's values, typed; what is missing has its default."""
-        allowed, given, places = block_settings(kind), {}, {}
+    def build(self, block: Block, struct_type: type[msgspec.Struct]) -> Any:
+        """Builds the struct for a block from its values; a missing or invalid value leaves the default."""
+        allowed, given, places = block_settings(struct_type), {}, {}
         for setting in block.settings:
-            name, reader = self._known(setting, allowed, places)
+            name, value_type = self._field(setting, allowed, places)
             if name is None:
                 continue
-            if isinstance(reader, NestedBlock | NamedBlocks):
-                self.fault(
+            if isinstance(value_type, NestedBlock | NamedBlocks):
+                self.add_error(
                     setting.line, setting.column, f"'{setting.word}' is a block, wanted: '{{' after it"
                 )
-            elif isinstance(reader, ListType) and setting.values:
-                given[name] = tuple(self._value(setting, reader.of, place) for place in setting.values)
+            elif isinstance(value_type, ListType) and setting.values:
+                given[name] = tuple(self._value(setting, value_type.item, place) for place in setting.values)
             elif len(setting.values) != 1:
-                self.fault(
+                self.add_error(
                     setting.line,
                     setting.column,
-                    f"'{setting.word}' has {len(setting.values)} values, allowed: {reader.allowed()}",
+                    f"'{setting.word}' has {len(setting.values)} values, allowed: {value_type.allowed()}",
                 )
             else:
-                given[name] = self._value(setting, reader, setting.values[0])
-        for inner in block.blocks:
-            self._inner(inner, allowed, places, given)
-        made = kind(**{name: value for name, value in given.items() if value is not None})
-        # Checks across values are the block's own; they name a field, the mistake stands at its line.
-        for name, text in getattr(made, "faults", list)():
+                given[name] = self._value(setting, value_type, setting.values[0])
+        for nested in block.blocks:
+            self._build_nested(nested, allowed, places, given)
+        built = struct_type(**{name: value for name, value in given.items() if value is not None})
+        # A struct may check its values against each other: it names the field, and the error is reported at
+        # the line of that field, or at the block's first line where the field is not set.
+        for name, text in getattr(built, "faults", list)():
             line, column = places.get(name, (block.head.line, block.head.column))
-            self.fault(line, column, text)
-        return made
+            self.add_error(line, column, text)
+        return built
 
-    def _value(self, setting: Setting, reader: Any, place: tuple[int, str]) -> Any:
-        """One value, typed; None, and a mistake noted, where it cannot be read."""
+    def _value(self, setting: Setting, value_type: Any, place: tuple[int, str]) -> Any:
+        """Converts one value; returns None and records an error if it is invalid."""
         column, text = place
         try:
-            return reader.read(text)
+            return value_type.read(text)
         except InvalidValueError:
-            self.fault(
-                setting.line, column, f"'{setting.word}' cannot be {text!r}, allowed: {reader.allowed()}"
+            self.add_error(
+                setting.line, column, f"'{setting.word}' cannot be {text!r}, allowed: {value_type.allowed()}"
             )
             return None
 
-    def _inner(self, inner: Block, allowed: dict, places: dict, given: dict[str, Any]) -> None:
-        head = inner.head
+    def _build_nested(self, nested: Block, allowed: dict, places: dict, given: dict[str, Any]) -> None:
+        """Builds a nested block into `given`: as its field, or by its own name in the field's dict."""
+        head = nested.head
         named = allowed.get(head.word, (None, None))[1]
         if isinstance(named, NamedBlocks):
             name = allowed[head.word][0]
             if len(head.values) != 1:
-                self.fault(head.line, head.column, f"'{head.word}' wants one name before '{{'")
+                self.add_error(head.line, head.column, f"'{head.word}' needs one name before '{{'")
                 return
-            own = given.setdefault(name, {})
-            if head.values[0][1] in own:
-                self.fault(
+            by_name = given.setdefault(name, {})
+            if head.values[0][1] in by_name:
+                self.add_error(
                     head.line,
                     head.values[0][0],
-                    f"{head.word} '{head.values[0][1]}' stands twice, " "allowed: once",
+                    f"{head.word} '{head.values[0][1]}' appears twice, allowed: once",
                 )
-            own[head.values[0][1]] = self.fill(inner, named.block)
+            by_name[head.values[0][1]] = self.build(nested, named.block)
             return
-        name, reader = self._known(head, allowed, places)
+        name, value_type = self._field(head, allowed, places)
         if name is None:
             return
-        if not isinstance(reader, NestedBlock):
-            self.fault(head.line, head.column, f"'{head.word}' is no block, allowed: {reader.allowed()}")
+        if not isinstance(value_type, NestedBlock):
+            self.add_error(
+                head.line, head.column, f"'{head.word}' is not a block, allowed: {value_type.allowed()}"
+            )
         elif head.values:
-            self.fault(head.line, head.values[0][0], f"block '{head.word}' takes no name, allowed: '{{'")
+            self.add_error(head.line, head.values[0][0], f"block '{head.word}' takes no name, allowed: '{{'")
         else:
-            given[name] = self.fill(inner, reader.block)
+            given[name] = self.build(nested, value_type.block)
 
-    def _known(self, setting: Setting, allowed: dict, places: dict) -> tuple[str | None, Any]:
-        """The field that a word stands for, once."""
+    def _field(self, setting: Setting, allowed: dict, places: dict) -> tuple[str | None, Any]:
+        """Returns a word's field and value type; (None, None) if the word is unknown or repeated."""
         if setting.word not in allowed:
             near = get_close_matches(setting.word, allowed, 1)
             hint = f" (did you mean '{near[0]}'?)" if near else ""
-            self.fault(
+            self.add_error(
                 setting.line,
                 setting.column,
                 f"unknown word '{setting.word}'{hint}, "
                 f"allowed: {', '.join(sorted(allowed)) or 'nothing'}",
             )
             return None, None
-        name, reader = allowed[setting.word]
+        name, value_type = allowed[setting.word]
         if name in places:
-            self.fault(
+            self.add_error(
                 setting.line,
                 setting.column,
-                f"'{setting.word}' stands twice, allowed: once (line {places[name][0]} has it)",
+                f"'{setting.word}' appears twice, allowed: once (first in line {places[name][0]})",
             )
             return None, None
         places[name] = (setting.line, setting.column)
-        return name, reader
+        return name, value_type
 
 
 def _text(token: lark.Token) -> str:
+    """Returns a token's text; a string without its quotes, with `\\"` and `\\\\` unescaped."""
     if token.type != "STRING":
         return str(token)
     return str(token)[1:-1].replace('\\"', '"').replace("\\\\", "\\")
 
 
-def read(text: str, kind: type[msgspec.Struct], file: str = "settings") -> Any:
-    """The text of a file as `kind`, or `SettingsError` with a line for each mistake, in the file's order."""
+def read(text: str, struct_type: type[msgspec.Struct], file: str = "settings") -> Any:
+    """Reads a file's text into a struct; `SettingsError` with a line for each error, in the file's order."""
     reader = Reader()
-    made = reader.fill(reader.blocks(text), kind)
-    if reader.mistakes:
-        mistakes = sorted(reader.mistakes)
-        raise SettingsError([f"{file}:{line}:{column}: {what}" for line, column, what in mistakes])
-    return made
+    built = reader.build(reader.parse(text), struct_type)
+    if reader.errors:
+        errors = sorted(reader.errors)
+        raise SettingsError([f"{file}:{line}:{column}: {what}" for line, column, what in errors])
+    return built
 
 
-def load(path: str | Path, kind: type[msgspec.Struct]) -> Any:
-    """The file at a path as `kind`; a file that cannot be read is a mistake like any other."""
+def load(path: str | Path, struct_type: type[msgspec.Struct]) -> Any:
+    """Reads the file at a path into a struct; `SettingsError` also if it cannot be read or decoded."""
     try:
         text = Path(path).read_bytes().decode("utf-8")
-    except OSError as fault:
-        what = f"cannot be read ({fault.strerror}), wanted: a readable file"
+    except OSError as error:
+        what = f"cannot be read ({error.strerror}), wanted: a readable file"
         raise SettingsError([f"{path}:1:1: {what}"]) from None
-    except UnicodeDecodeError as fault:
-        line = Path(path).read_bytes()[: fault.start].count(b"\n") + 1
+    except UnicodeDecodeError as error:
+        line = Path(path).read_bytes()[: error.start].count(b"\n") + 1
         raise SettingsError([f"{path}:{line}:1: is not UTF-8, wanted: text"]) from None
-    return read(text, kind, str(path))
+    return read(text, struct_type, str(path))
