--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: all errors are reported together with their positions, and valid values are read as meant."""
+"""Settings files: all errors are reported together with their positions, and valid values are read."""
 
 import subprocess
 import sys
--- a/willownotch/settings/reader.py
+++ b/willownotch/settings/reader.py
@@ -135,9 +135,9 @@
 
     def build(self, block: Block, struct_type: type[msgspec.Struct]) -> Any:
         """Builds the struct for a block from its values; a missing or invalid value leaves the default."""
-        allowed, given, places = block_settings(struct_type), {}, {}
+        allowed, given, positions = block_settings(struct_type), {}, {}
         for setting in block.settings:
-            name, value_type = self._field(setting, allowed, places)
+            name, value_type = self._field(setting, allowed, positions)
             if name is None:
                 continue
             if isinstance(value_type, NestedBlock | NamedBlocks):
@@ -145,7 +145,9 @@
                     setting.line, setting.column, f"'{setting.word}' is a block, wanted: '{{' after it"
                 )
             elif isinstance(value_type, ListType) and setting.values:
-                given[name] = tuple(self._value(setting, value_type.item, place) for place in setting.values)
+                given[name] = tuple(
+                    self._value(setting, value_type.item, position) for position in setting.values
+                )
             elif len(setting.values) != 1:
                 self.add_error(
                     setting.line,
@@ -155,18 +157,18 @@
             else:
                 given[name] = self._value(setting, value_type, setting.values[0])
         for nested in block.blocks:
-            self._build_nested(nested, allowed, places, given)
+            self._build_nested(nested, allowed, positions, given)
         built = struct_type(**{name: value for name, value in given.items() if value is not None})
         # A struct may check its values against each other: it names the field, and the error is reported at
         # the line of that field, or at the block's first line where the field is not set.
         for name, text in getattr(built, "faults", list)():
-            line, column = places.get(name, (block.head.line, block.head.column))
+            line, column = positions.get(name, (block.head.line, block.head.column))
             self.add_error(line, column, text)
         return built
 
-    def _value(self, setting: Setting, value_type: Any, place: tuple[int, str]) -> Any:
+    def _value(self, setting: Setting, value_type: Any, position: tuple[int, str]) -> Any:
         """Converts one value; returns None and records an error if it is invalid."""
-        column, text = place
+        column, text = position
         try:
             return value_type.read(text)
         except InvalidValueError:
@@ -175,7 +177,7 @@
             )
             return None
 
-    def _build_nested(self, nested: Block, allowed: dict, places: dict, given: dict[str, Any]) -> None:
+    def _build_nested(self, nested: Block, allowed: dict, positions: dict, given: dict[str, Any]) -> None:
         """Builds a nested block into `given`: as its field, or by its own name in the field's dict."""
         head = nested.head
         named = allowed.get(head.word, (None, None))[1]
@@ -193,7 +195,7 @@
                 )
             by_name[head.values[0][1]] = self.build(nested, named.block)
             return
-        name, value_type = self._field(head, allowed, places)
+        name, value_type = self._field(head, allowed, positions)
         if name is None:
             return
         if not isinstance(value_type, NestedBlock):
@@ -205,7 +207,7 @@
         else:
             given[name] = self.build(nested, value_type.block)
 
-    def _field(self, setting: Setting, allowed: dict, places: dict) -> tuple[str | None, Any]:
+    def _field(self, setting: Setting, allowed: dict, positions: dict) -> tuple[str | None, Any]:
         """Returns a word's field and value type; (None, None) if the word is unknown or repeated."""
         if setting.word not in allowed:
             near = get_close_matches(setting.word, allowed, 1)
@@ -218,14 +220,14 @@
             )
             return None, None
         name, value_type = allowed[setting.word]
-        if name in places:
+        if name in positions:
             self.add_error(
                 setting.line,
                 setting.column,
-                f"'{setting.word}' appears twice, allowed: once (first in line {places[name][0]})",
+                f"'{setting.word}' appears twice, allowed: once (first in line {positions[name][0]})",
             )
             return None, None
-        places[name] = (setting.line, setting.column)
+        positions[name] = (setting.line, setting.column)
         return name, value_type
 
 
