--- a/willownotch/shared/judgements.py
+++ b/willownotch/shared/judgements.py
@@ -1,19 +1,21 @@
-"""What senders have found of endpoints, merged and forgotten by age. No I/O, no clock.
+"""What senders have found of endpoints: judgements that are merged, and dropped by age. No I/O, no clock.
 
-A row says what one process holds of one endpoint: that it fails or works again, or a limit that its answers
-tell. Only that process writes it, under a version that grows; of two rows the higher version counts (a
-last-writer-wins register for each source, joined over all: Shapiro and others, 2011). So merging is
-idempotent, commutative and associative, whatever is lost, late or repeated. Rows travel as deltas, those
-changed or affirmed lately.
+A row is what one process says of one endpoint: that it fails or works again, or a limit that the endpoint's
+answers state. Only that process writes the row, with a version that increases; of two rows the higher version
+wins (a last-writer-wins register for each source, joined over all: Shapiro and others, 2011). So merging is
+idempotent, commutative and associative, whatever messages are lost, delayed or repeated. Only rows that were
+changed or affirmed lately are sent (deltas).
 
-Ages travel, times do not: a row comes with how long ago its source last affirmed it, and the way adds to that
-only what it takes. A source affirms what it still holds; what nobody affirms is over after `span`.
+Rows carry ages instead of times: how long ago the source last affirmed the row. The transfer only adds the
+time that it takes. A source affirms what it still holds; a row that nobody affirms is dropped after
+`lifetime_s`.
 
-Where enough say the same of an endpoint, nobody else affirms it or passes it on: what is sent grows with the
-endpoints that there is something to say of, not with the members that have found it.
+Where enough sources say the same of an endpoint, the others neither affirm it nor pass it on. So the traffic
+grows with the endpoints that have judgements and not with the members that have made them.
 
-What others say counts here only once `sources` of them say so, and never for more than a share of a
-destination's endpoints. So one that is wrong, or lies, changes nothing; many change no more than that share.
+What others say counts here only once `sources` of them agree, and never for more than a share of a
+destination's endpoints. So one member that is wrong, or lies, changes nothing, and many change no more than
+that share.
 """
 
 from __future__ import annotations
@@ -24,42 +26,43 @@
 
 import msgspec
 
-ROWS_MOST = 40  # in one message
+MAX_ROWS_PER_MESSAGE = 40
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """What a process holds of an endpoint. `age_ms`: since it said so, as whoever passes this on has it."""
+    """What a process says of an endpoint. `age_ms` is the time since it affirmed this, when the row is
+    sent."""
 
-    life: int
-    source: str  # its name
+    uid: int  # of the process
+    source: str  # the member's name
     endpoint: str
     version: int
-    failing: bool | None  # None: nothing of the kind
-    limit: float | None  # calls a second, as answers told it
+    failing: bool | None  # None: no judgement
+    limit: float | None  # calls a second, as the endpoint's answers state it
     age_ms: int
 
 
 @dataclass(slots=True)
-class Held:
-    """A row, and when its source affirmed it by this clock."""
+class StoredRow:
+    """A row, and when its source affirmed it by the local clock."""
 
     row: Row
-    at: float
+    affirmed_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What others together say of an endpoint, as far as it counts here."""
+    """What the others together say of an endpoint, where it counts here."""
 
     endpoint: str
     failing: bool
     sources: int
-    age: float  # of the oldest of them that is needed
+    age: float  # in seconds, of the oldest row that the verdict needs
 
 
 @dataclass(slots=True)
-class Own:
-    """What this process holds itself."""
+class OwnJudgement:
+    """What this process itself says of an endpoint."""
 
     version: int = 0
     failing: bool | None = None
@@ -70,173 +73,177 @@
 
 @dataclass(slots=True)
 class Judgements:
-    """One sender's part: its own rows, those of others, and what they come to."""
+    """One sender's view: its own judgements, the rows of all, and the verdicts that follow from them."""
 
     name: str
-    life: int
-    span: float
+    uid: int
+    lifetime_s: float
     sources: int
-    most_share: float
-    rows_most: int
-    own: dict[str, Own] = field(default_factory=dict)
-    held: dict[tuple[int, str], Held] = field(default_factory=dict)
-    fresh: dict[tuple[int, str], int] = field(default_factory=dict)  # still to be passed on so often
-    left_out: int = 0  # rows of others that found no room
-    _lives: dict[str, set[int]] = field(default_factory=dict)  # of each endpoint, whose rows are held
+    max_failing_share: float
+    max_rows: int
+    own: dict[str, OwnJudgement] = field(default_factory=dict)
+    rows: dict[tuple[int, str], StoredRow] = field(default_factory=dict)  # by process and endpoint
+    unsent: dict[tuple[int, str], int] = field(default_factory=dict)  # how often a row to pass on was sent
+    left_out: int = 0  # rows of others that exceeded `max_rows`
+    _uids: dict[str, set[int]] = field(default_factory=dict)  # by endpoint, the processes with a row
 
-    # Its own
+    # This process's judgements
 
     def told(self, now: float, endpoint: str, works: bool) -> None:
-        """The decision module has found that an endpoint fails, or works again."""
-        own = self.own.setdefault(endpoint, Own())
+        """Records that the decision module found an endpoint failing, or working again."""
+        own = self.own.setdefault(endpoint, OwnJudgement())
         own.failing, own.changed_at = not works, now
         self._affirm(now, endpoint)
 
     def limit(self, now: float, endpoint: str, limit: float) -> None:
-        """An answer told a limit."""
-        own = self.own.setdefault(endpoint, Own())
-        moved = own.limit is None or abs(limit - own.limit) > 0.1 * own.limit
+        """Records a limit in calls a second that an endpoint's answer stated."""
+        own = self.own.setdefault(endpoint, OwnJudgement())
+        changed = own.limit is None or abs(limit - own.limit) > 0.1 * own.limit
         own.limit, own.limit_at = limit, now
-        if moved:
+        if changed:
             self._affirm(now, endpoint)
 
     def _affirm(self, now: float, endpoint: str) -> None:
+        """Writes the own row under a new version and has it sent."""
         own = self.own[endpoint]
         own.version += 1
-        row = Row(self.life, self.name, endpoint, own.version, own.failing, own.limit, 0)
-        self.held[self.life, endpoint] = Held(row, now)
-        self._lives.setdefault(endpoint, set()).add(self.life)
-        self.fresh[self.life, endpoint] = 0
-
-    def _agree(self, now: float, row: Row) -> int:
-        """How many others have said as much lately."""
-        lately, count = self.span / 3, 0
-        for life in self._lives.get(row.endpoint, ()):
-            held = self.held[life, row.endpoint]
-            same = held.row.failing == row.failing and (row.limit is None or held.row.limit is not None)
-            count += life != row.life and same and now - held.at < lately
+        row = Row(self.uid, self.name, endpoint, own.version, own.failing, own.limit, 0)
+        self.rows[self.uid, endpoint] = StoredRow(row, now)
+        self._uids.setdefault(endpoint, set()).add(self.uid)
+        self.unsent[self.uid, endpoint] = 0
+
+    def _agreeing(self, now: float, row: Row) -> int:
+        """Counts the other processes that affirmed the same in the last third of a row's lifetime."""
+        recent_s, count = self.lifetime_s / 3, 0
+        for uid in self._uids.get(row.endpoint, ()):
+            stored = self.rows[uid, row.endpoint]
+            same = stored.row.failing == row.failing and (row.limit is None or stored.row.limit is not None)
+            count += uid != row.uid and same and now - stored.affirmed_at < recent_s
         return count
 
     def tick(self, now: float) -> None:
-        """Affirm what is still held here, and forget what nobody has affirmed in time."""
+        """Affirms the own judgements that still hold and drops rows that were not affirmed in time."""
         for endpoint, own in list(self.own.items()):
-            # That something works again is news, and nothing that is held: the next failure tells for itself.
-            if own.failing is False and now - own.changed_at > self.span:
+            # That an endpoint works again is sent once and not kept up: the next failure is a judgement of
+            # its own.
+            if own.failing is False and now - own.changed_at > self.lifetime_s:
                 own.failing = None
-            if own.limit is not None and now - own.limit_at > self.span:
+            if own.limit is not None and now - own.limit_at > self.lifetime_s:
                 own.limit = None
             if own.failing is None and own.limit is None:
                 del self.own[endpoint]
                 continue
-            held = self.held.get((self.life, endpoint))
-            if held is None or now - held.at >= self.span / 3:
-                row = Row(self.life, self.name, endpoint, own.version, own.failing, own.limit, 0)
-                if self._agree(now, row) <= self.sources:
+            stored = self.rows.get((self.uid, endpoint))
+            if stored is None or now - stored.affirmed_at >= self.lifetime_s / 3:
+                row = Row(self.uid, self.name, endpoint, own.version, own.failing, own.limit, 0)
+                if self._agreeing(now, row) <= self.sources:
                     self._affirm(now, endpoint)
-        for key in [key for key, held in self.held.items() if now - held.at > self.span]:
-            del self.held[key]
-            self.fresh.pop(key, None)
-            self._lives[key[1]].discard(key[0])
-            if not self._lives[key[1]]:
-                del self._lives[key[1]]
+        for key in [k for k, stored in self.rows.items() if now - stored.affirmed_at > self.lifetime_s]:
+            del self.rows[key]
+            self.unsent.pop(key, None)
+            self._uids[key[1]].discard(key[0])
+            if not self._uids[key[1]]:
+                del self._uids[key[1]]
 
-    # Those of others
+    # Other processes' judgements
 
     def merge(self, now: float, rows: Iterable[Row]) -> int:
-        """Take what is newer; how many rows were."""
+        """Takes the rows that are newer than those stored; returns how many were."""
         taken = 0
         for row in rows:
-            key, at = (row.life, row.endpoint), now - max(0, row.age_ms) / 1000
-            if row.life == self.life or now - at > self.span:
+            key, affirmed_at = (row.uid, row.endpoint), now - max(0, row.age_ms) / 1000
+            if row.uid == self.uid or now - affirmed_at > self.lifetime_s:
                 continue
-            known = self.held.get(key)
+            known = self.rows.get(key)
             if known is not None and row.version <= known.row.version:
                 if row.version == known.row.version:
-                    known.at = max(known.at, at)
+                    known.affirmed_at = max(known.affirmed_at, affirmed_at)
                 continue
-            if known is None and len(self.held) >= self.rows_most:
+            if known is None and len(self.rows) >= self.max_rows:
                 self.left_out += 1
                 continue
-            self.held[key] = Held(row, at)
-            self._lives.setdefault(row.endpoint, set()).add(row.life)
+            self.rows[key] = StoredRow(row, affirmed_at)
+            self._uids.setdefault(row.endpoint, set()).add(row.uid)
             taken += 1
-            if self._agree(now, row) <= self.sources:
-                self.fresh[key] = 0
+            if self._agreeing(now, row) <= self.sources:
+                self.unsent[key] = 0
         return taken
 
-    def news(self, now: float, times: int) -> tuple[Row, ...]:
-        """Rows to pass on, each so many times, those told least often first."""
-        chosen = sorted(self.fresh.items(), key=lambda item: item[1])[:ROWS_MOST]
+    def unsent_rows(self, now: float, times: int) -> tuple[Row, ...]:
+        """Returns the next rows to send, the least often sent first; each is returned `times` times."""
+        chosen = sorted(self.unsent.items(), key=lambda item: item[1])[:MAX_ROWS_PER_MESSAGE]
         rows = []
-        for key, told in chosen:
-            held = self.held.get(key)
-            if held is None or told + 1 >= times:
-                self.fresh.pop(key, None)
+        for key, sent in chosen:
+            stored = self.rows.get(key)
+            if stored is None or sent + 1 >= times:
+                self.unsent.pop(key, None)
             else:
-                self.fresh[key] = told + 1
-            if held is not None:
-                rows.append(aged(held, now))
+                self.unsent[key] = sent + 1
+            if stored is not None:
+                rows.append(with_age(stored, now))
         return tuple(rows)
 
-    def some(self, now: float, offset: int) -> tuple[Row, ...]:
-        """A stretch of all rows, for whoever missed news: anti-entropy a message at a time."""
-        keys = sorted(key for key, held in self.held.items() if now - held.at < self.span / 2)
-        start = offset * ROWS_MOST % max(1, len(keys))
-        return tuple(aged(self.held[key], now) for key in keys[start : start + ROWS_MOST])
+    def some_rows(self, now: float, offset: int) -> tuple[Row, ...]:
+        """Returns one message's worth of all rows, for members that missed updates (anti-entropy)."""
+        keys = sorted(k for k, stored in self.rows.items() if now - stored.affirmed_at < self.lifetime_s / 2)
+        start = offset * MAX_ROWS_PER_MESSAGE % max(1, len(keys))
+        return tuple(with_age(self.rows[key], now) for key in keys[start : start + MAX_ROWS_PER_MESSAGE])
 
-    # What it comes to
+    # Verdicts
 
     def verdicts(self, now: float, endpoints: dict[str, int]) -> dict[str, Verdict]:
-        """What counts here of the endpoints that are listed, with their destinations.
+        """Returns the verdicts that count here, by endpoint. `endpoints` has the destination of each listed
+        one.
 
-        Sources are counted by name: a process that begins again is the same one that may be wrong.
+        Sources are counted by name: a process that restarts is the same source, which may be wrong both
+        times.
         """
-        said: dict[str, dict[str, Held]] = {}
-        for (life, endpoint), held in self.held.items():
-            if life == self.life or endpoint not in endpoints or held.row.failing is None:
+        by_endpoint: dict[str, dict[str, StoredRow]] = {}
+        for (uid, endpoint), stored in self.rows.items():
+            if uid == self.uid or endpoint not in endpoints or stored.row.failing is None:
                 continue
-            known = said.setdefault(endpoint, {}).get(held.row.source)
-            if known is None or held.at > known.at:
-                said[endpoint][held.row.source] = held
+            known = by_endpoint.setdefault(endpoint, {}).get(stored.row.source)
+            if known is None or stored.affirmed_at > known.affirmed_at:
+                by_endpoint[endpoint][stored.row.source] = stored
         found: dict[str, Verdict] = {}
-        for endpoint, by_source in said.items():
+        for endpoint, by_source in by_endpoint.items():
             for failing in (True, False):
-                ages = sorted(now - h.at for h in by_source.values() if h.row.failing is failing)
+                ages = sorted(now - s.affirmed_at for s in by_source.values() if s.row.failing is failing)
                 if len(ages) >= self.sources and len(ages) > len(by_source) / 2:
                     found[endpoint] = Verdict(endpoint, failing, len(ages), ages[self.sources - 1])
-        return self._bounded(found, endpoints)
+        return self._limit_failing(found, endpoints)
 
-    def _bounded(self, found: dict[str, Verdict], endpoints: dict[str, int]) -> dict[str, Verdict]:
-        """No more than a share of a destination's endpoints is held for down on the word of others."""
-        of: dict[int, list[str]] = {}
+    def _limit_failing(self, found: dict[str, Verdict], endpoints: dict[str, int]) -> dict[str, Verdict]:
+        """Drops verdicts of failure beyond the permitted share of each destination's endpoints."""
+        by_destination: dict[int, list[str]] = {}
         for endpoint, destination in endpoints.items():
-            of.setdefault(destination, []).append(endpoint)
-        for names in of.values():
-            down = sorted(
+            by_destination.setdefault(destination, []).append(endpoint)
+        for names in by_destination.values():
+            failing = sorted(
                 (v for name in names if (v := found.get(name)) is not None and v.failing),
                 key=lambda v: (-v.sources, v.age, v.endpoint),
             )
-            for verdict in down[int(self.most_share * len(names)) :]:
+            for verdict in failing[int(self.max_failing_share * len(names)) :]:
                 del found[verdict.endpoint]
         return found
 
     def limits(self, endpoints: Iterable[str]) -> dict[str, float]:
-        """Limits that enough others were told, the middle of what they say."""
-        said: dict[str, dict[str, tuple[float, float]]] = {}
+        """Returns the limits that enough others were told: the lower median, in calls a second."""
+        by_endpoint: dict[str, dict[str, tuple[float, float]]] = {}
         listed = set(endpoints)
-        for (life, endpoint), held in self.held.items():
-            if life == self.life or endpoint not in listed or held.row.limit is None:
+        for (uid, endpoint), stored in self.rows.items():
+            if uid == self.uid or endpoint not in listed or stored.row.limit is None:
                 continue
-            known = said.setdefault(endpoint, {}).get(held.row.source)
-            if known is None or held.at > known[0]:
-                said[endpoint][held.row.source] = held.at, held.row.limit
+            known = by_endpoint.setdefault(endpoint, {}).get(stored.row.source)
+            if known is None or stored.affirmed_at > known[0]:
+                by_endpoint[endpoint][stored.row.source] = stored.affirmed_at, stored.row.limit
         return {
-            endpoint: median_low(limit for _, limit in told.values())
-            for endpoint, told in said.items()
-            if len(told) >= self.sources
+            endpoint: median_low(limit for _, limit in by_source.values())
+            for endpoint, by_source in by_endpoint.items()
+            if len(by_source) >= self.sources
         }
 
 
-def aged(held: Held, now: float) -> Row:
-    """As it is passed on."""
-    return msgspec.structs.replace(held.row, age_ms=max(0, round((now - held.at) * 1000)))
+def with_age(stored: StoredRow, now: float) -> Row:
+    """Returns the row as it is sent, with its present age."""
+    return msgspec.structs.replace(stored.row, age_ms=max(0, round((now - stored.affirmed_at) * 1000)))
--- a/willownotch/shared/service.py
+++ b/willownotch/shared/service.py
@@ -1,6 +1,8 @@
-"""Shared state in a running sender: the layer, fed by the owner, and what the decisions are told of it.
+"""Shared state in a running sender: feeds the layer with what the sender observes and passes on what others
+share.
 
-The membership's thread runs it, under that thread's lock; the owner only counts and posts.
+The membership's thread runs it under that thread's lock; the thread of the decision module only counts and
+posts.
 """
 
 from __future__ import annotations
@@ -18,31 +20,33 @@
 from willownotch.shared.layer import SharingLayer
 from willownotch.shared.settings import SharedSettings
 
-LEAD_S = 0.15  # parts are told as they will be so much later, so that none is spent beyond its end
-TELL_S, STALE_S = 0.1, 1.0  # between two words on parts; after so long without one, only what is never lent
-LIMIT_MOVED = 0.1  # share by which a limit must have changed to be told again
+LEAD_S = 0.15  # a part is reported as it will be then, so that no loan is spent beyond its end
+# A part that shrinks is reported at once, others at the interval. Without a report for `STALE_S`, only the
+# share that is never lent may be spent.
+REPORT_INTERVAL_S, STALE_S = 0.1, 1.0
+LIMIT_CHANGE_SHARE = 0.1  # a limit is reported again when it has changed by more than this
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetParts:
-    """This sender's parts of budgets, and what is left of them should no more be heard."""
+    """This sender's parts of budgets as shares, and what replaces them once they are out of date."""
 
     parts: dict[str, float]
-    floor: float
-    hard: frozenset[str]
+    floor: float  # the share that is never lent
+    hard: frozenset[str]  # budgets above whose part messages are rejected
     until: float  # on the monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointFindings:
-    """What others have found of endpoints, as it changed: works or not, and limits."""
+    """Changes in what others say of endpoints: whether they work, and limits in calls a second."""
 
     works: tuple[tuple[str, bool], ...]
     limits: tuple[tuple[str, float], ...]
 
 
 class BudgetView(msgspec.Struct, frozen=True):
-    """One budget here."""
+    """One budget of this sender; parts, loans and borrowings as shares of the whole."""
 
     name: str
     per_s: float
@@ -53,7 +57,7 @@
 
 
 class RowView(msgspec.Struct, frozen=True):
-    """What one sender has found of an endpoint."""
+    """One sender's judgement of an endpoint."""
 
     endpoint: str
     source: str
@@ -63,7 +67,7 @@
 
 
 class VerdictView(msgspec.Struct, frozen=True):
-    """What counts here of an endpoint on the word of others."""
+    """What counts here of an endpoint because others agree on it."""
 
     endpoint: str
     failing: bool
@@ -72,7 +76,7 @@
 
 
 class SharedView(msgspec.Struct, frozen=True):
-    """All of it, with the bounds past which it counts no more."""
+    """All shared state, and how long loans and judgements are valid."""
 
     name: str
     own: float
@@ -85,22 +89,23 @@
 
 
 class SharedState:
-    """Both halves for one sender. `lock` is the membership's, set before it is started."""
+    """Budgets and judgements of one sender. `lock` is the membership's and is set before the membership
+    starts."""
 
     def __init__(
-        self, settings: SharedSettings, name: str, life: int, instances: int, now: float, random: Random
+        self, settings: SharedSettings, name: str, uid: int, instances: int, now: float, random: Random
     ) -> None:
         self.settings, self.name, self.lock = settings, name, threading.Lock()
-        number = settings.instances or instances
+        instance_count = settings.instances or instances
         self.budgets = (
-            Budgets(name, number, now, random, settings.loan.total_seconds(), settings.keep)
+            Budgets(name, instance_count, now, random, settings.loan.total_seconds(), settings.keep)
             if settings.budgets
             else None
         )
         self.judgements = (
             Judgements(
                 name,
-                life,
+                uid,
                 settings.judgement.total_seconds(),
                 settings.sources,
                 settings.most_share,
@@ -112,91 +117,93 @@
         self.layer = SharingLayer(
             name, lambda: self.settings.exchange.total_seconds(), random, self.budgets, self.judgements, now
         )
-        self.endpoints: Callable[[], dict[str, int]] = dict  # those that are listed, with their destinations
-        self.tell: Callable[[BudgetParts | EndpointFindings], None] = lambda found: None
+        self.endpoints: Callable[[], dict[str, int]] = dict  # those listed, with their destinations
+        self.tell: Callable[[BudgetParts | EndpointFindings], None] = lambda update: None
         self._demand: Counter[str] = Counter()
-        self._told_at, self._told = -1e9, {}
-        self._verdicts: dict[str, bool] = {}
-        self._limits: dict[str, float] = {}
+        self._parts_reported_at, self._reported_parts = -1e9, {}
+        self._reported_verdicts: dict[str, bool] = {}
+        self._reported_limits: dict[str, float] = {}
 
-    # What the owner says; any thread
+    # Called by the sender, on any thread
 
     def configure(self, quotas: dict[str, float]) -> None:
-        """The tenants and their quotas."""
+        """Sets the tenants' quotas in messages a second."""
         with self.lock:
             if self.budgets is not None:
                 self.budgets.configure(quotas)
 
     def record_demand(self, name: str) -> None:
-        """A message of a tenant has come, whatever becomes of it."""
+        """Counts a message of a tenant, whether it is accepted or not."""
         self._demand[name] += 1
 
     def found(self, now: float, endpoint: str, works: bool) -> None:
-        """The decision module's own verdict."""
+        """Records that the decision module found an endpoint failing, or working again."""
         with self.lock:
             if self.judgements is not None:
                 self.judgements.told(now, endpoint, works)
 
     def limit(self, now: float, endpoint: str, limit: float) -> None:
-        """An answer told a limit."""
+        """Records a limit in calls a second that an endpoint's answer stated."""
         with self.lock:
             if self.judgements is not None:
                 self.judgements.limit(now, endpoint, limit)
 
-    # Its rounds, under the lock
+    # Called by the membership's thread, under the lock
 
     def before(self, now: float) -> None:
-        """Take what was counted, and tell what has changed."""
+        """Takes the counted demand and reports changes; runs before each round of the membership."""
         if self.budgets is not None:
             counted, self._demand = self._demand, Counter()
             self.budgets.record_demand(now, counted.items())
-            self._tell_parts(now)
+            self._report_parts(now)
         if self.judgements is not None:
-            self._tell_findings(now)
+            self._report_findings(now)
 
-    def _tell_parts(self, now: float) -> None:
+    def _report_parts(self, now: float) -> None:
+        """Reports the parts at once if one has shrunk, else at the interval."""
         parts = {name: self.budgets.part(name, now, LEAD_S) / 1e6 for name in self.budgets.budgets}
-        less = any(part < self._told.get(name, 1.0) for name, part in parts.items())
-        if less or now - self._told_at >= TELL_S:
-            self._told, self._told_at = parts, now
-            floor = self.budgets.own() * self.budgets.keep / 1e6
+        shrunk = any(part < self._reported_parts.get(name, 1.0) for name, part in parts.items())
+        if shrunk or now - self._parts_reported_at >= REPORT_INTERVAL_S:
+            self._reported_parts, self._parts_reported_at = parts, now
+            floor = self.budgets.own_part() * self.budgets.reserved_share / 1e6
             self.tell(BudgetParts(parts, floor, frozenset(self.settings.hard), now + STALE_S))
 
-    def _tell_findings(self, now: float) -> None:
+    def _report_findings(self, now: float) -> None:
+        """Reports verdicts and limits that have changed since the last report."""
         listed = self.endpoints()
         verdicts = self.judgements.verdicts(now, listed)
         works: list[tuple[str, bool]] = []
         for endpoint, verdict in verdicts.items():
-            if self._verdicts.get(endpoint) is not verdict.failing:
+            if self._reported_verdicts.get(endpoint) is not verdict.failing:
                 works.append((endpoint, not verdict.failing))
-        for endpoint, failing in self._verdicts.items():
+        for endpoint, failing in self._reported_verdicts.items():
             own = self.judgements.own.get(endpoint)
             if failing and endpoint not in verdicts and endpoint in listed and not (own and own.failing):
-                works.append((endpoint, True))  # nobody says so any more: what is found here alone counts
-        self._verdicts = {endpoint: verdict.failing for endpoint, verdict in verdicts.items()}
+                works.append((endpoint, True))  # the others' verdict has ended: only local knowledge counts
+        self._reported_verdicts = {endpoint: verdict.failing for endpoint, verdict in verdicts.items()}
         limits = []
         for endpoint, limit in self.judgements.limits(listed).items():
-            own, known = self.judgements.own.get(endpoint), self._limits.get(endpoint, 0.0)
-            if abs(limit - known) > LIMIT_MOVED * known and not (own and own.limit is not None):
-                self._limits[endpoint] = limit
+            own, reported = self.judgements.own.get(endpoint), self._reported_limits.get(endpoint, 0.0)
+            if abs(limit - reported) > LIMIT_CHANGE_SHARE * reported and not (own and own.limit is not None):
+                self._reported_limits[endpoint] = limit
                 limits.append((endpoint, limit))
-        if len(self._limits) > 2 * len(listed) + 64:
-            self._limits.clear()
+        if len(self._reported_limits) > 2 * len(listed) + 64:
+            self._reported_limits.clear()
         if works or limits:
             self.tell(EndpointFindings(tuple(works), tuple(limits)))
 
     def reload(self, settings: SharedSettings) -> None:
-        """Take other settings; what is on stays so."""
+        """Applies changed settings; whether budgets and judgements are shared is fixed at the start."""
         self.settings = settings
         if self.budgets is not None:
-            self.budgets.span, self.budgets.keep = settings.loan.total_seconds(), settings.keep
+            self.budgets.loan_s, self.budgets.reserved_share = settings.loan.total_seconds(), settings.keep
         if self.judgements is not None:
-            own = self.judgements
-            own.span, own.sources = settings.judgement.total_seconds(), settings.sources
-            own.most_share, own.rows_most = settings.most_share, settings.rows
+            judgements = self.judgements
+            judgements.lifetime_s, judgements.sources = settings.judgement.total_seconds(), settings.sources
+            judgements.max_failing_share, judgements.max_rows = settings.most_share, settings.rows
 
     def view(self, now: float) -> SharedView:
-        """For who asks, under the lock."""
+        """Returns all shared state for an operator; call it under the lock."""
         budgets, rows, verdicts = [], [], []
         if self.budgets is not None:
             for name, budget in self.budgets.budgets.items():
@@ -206,24 +213,30 @@
                         name,
                         budget.per_s,
                         part / 1e6,
-                        sum(n.amount for n in budget.lent.values()) / 1e6,
-                        sum(n.amount for n in budget.borrowed.values()) / 1e6,
+                        sum(loan.amount for loan in budget.lent.values()) / 1e6,
+                        sum(loan.amount for loan in budget.borrowed.values()) / 1e6,
                         round(budget.demand, 3),
                     )
                 )
         if self.judgements is not None:
             rows = [
-                RowView(h.row.endpoint, h.row.source, h.row.failing, h.row.limit, round(now - h.at, 3))
-                for _, h in sorted(self.judgements.held.items())
+                RowView(
+                    stored.row.endpoint,
+                    stored.row.source,
+                    stored.row.failing,
+                    stored.row.limit,
+                    round(now - stored.affirmed_at, 3),
+                )
+                for _, stored in sorted(self.judgements.rows.items())
             ]
             found = self.judgements.verdicts(now, self.endpoints())
             verdicts = [
                 VerdictView(v.endpoint, v.failing, v.sources, round(v.age, 3)) for v in found.values()
             ]
-        own = self.budgets.own() / 1e6 if self.budgets else 0.0
+        own_part = self.budgets.own_part() / 1e6 if self.budgets else 0.0
         return SharedView(
             self.name,
-            own,
+            own_part,
             self.settings.loan.total_seconds(),
             self.settings.judgement.total_seconds(),
             tuple(budgets),
--- a/willownotch/shared/settings.py
+++ b/willownotch/shared/settings.py
@@ -1,4 +1,4 @@
-"""The `shared` block of the settings file. Off unless it says so; needs `peers`."""
+"""The `shared` block of the settings file. Nothing is shared unless it says so; it requires `peers`."""
 
 from __future__ import annotations
 
@@ -9,30 +9,38 @@
 
 from willownotch.settings.types import CountType, DurationType, Flag, ListType, ShareType, TextType, YesNo
 
-HALF = timedelta(milliseconds=500)
+HALF_SECOND = timedelta(milliseconds=500)
 
 
 class SharedSettings(msgspec.Struct, frozen=True):
-    """What is shared, and for how long what was heard counts."""
+    """What is shared, and how long a value from another sender is valid."""
 
-    budgets: YesNo = Flag.NO  # tenants' quotas are held in parts, which senders lend each other
+    budgets: YesNo = Flag.NO  # tenants' quotas are held in parts that senders lend each other
     instances: Annotated[int, CountType(1, 4096)] | None = None  # at once; else the configuration's number
-    hard: Annotated[tuple[str, ...], ListType(TextType("a tenant's name"))] = ()  # turned away above quota
-    loan: Annotated[timedelta, DurationType(HALF, timedelta(minutes=5))] = timedelta(seconds=3)
-    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), 20 * HALF)] = 0.4 * HALF
-    keep: Annotated[float, ShareType(0.0, 1.0)] = 0.1  # of the own part, never lent
-    judgements: YesNo = Flag.NO  # what is found of endpoints is told to others
-    judgement: Annotated[timedelta, DurationType(HALF, timedelta(minutes=10))] = 10 * HALF  # that it counts
-    sources: Annotated[int, CountType(1, 16)] = 2  # that must say so before it counts here
-    most_share: Annotated[float, ShareType(0.0, 1.0)] = 0.5  # of a destination's endpoints, held for down so
-    rows: Annotated[int, CountType(16, 10**6)] = 4096  # sources x endpoints remembered at the most
+    hard: Annotated[tuple[str, ...], ListType(TextType("a tenant's name"))] = ()  # rejected above their quota
+    loan: Annotated[timedelta, DurationType(HALF_SECOND, timedelta(minutes=5))] = timedelta(seconds=3)
+    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), 20 * HALF_SECOND)] = (
+        0.4 * HALF_SECOND
+    )
+    keep: Annotated[float, ShareType(0.0, 1.0)] = 0.1  # share of the own part that is never lent
+    judgements: YesNo = Flag.NO  # senders tell each other which endpoints fail
+    judgement: Annotated[timedelta, DurationType(HALF_SECOND, timedelta(minutes=10))] = (
+        10 * HALF_SECOND
+    )  # how long valid
+    sources: Annotated[int, CountType(1, 16)] = (
+        2  # senders that must agree before their judgement counts here
+    )
+    most_share: Annotated[float, ShareType(0.0, 1.0)] = (
+        0.5  # of a destination's endpoints, taken for failing so
+    )
+    rows: Annotated[int, CountType(16, 10**6)] = 4096  # judgements kept, one for each source and endpoint
 
     def enabled(self) -> bool:
         """Whether anything is shared."""
         return bool(self.budgets) or bool(self.judgements)
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together."""
+        """Returns settings that contradict each other, as field and error text."""
         if self.exchange * 4 > self.loan:
             return [("loan", "'loan' is below 4 x 'exchange', wanted: at least that")]
         if self.hard and not self.budgets:
