--- a/willownotch/mesh.py
+++ b/willownotch/mesh.py
@@ -1,5 +1,7 @@
-"""Peers and what travels on them, put together for a running sender. Loaded only where the settings ask for
-it."""
+"""Membership, usage counts, leases, shared state and replication, assembled for a running sender.
+
+Loaded only where the settings enable `peers`.
+"""
 
 from __future__ import annotations
 
@@ -30,17 +32,18 @@
     from willownotch.replica.service import Keeper
     from willownotch.shared.service import SharedState, SharedView
 
-LINGER_S = 0.6  # that a leaving instance still answers for, so that the others have its last counts
+LINGER_S = 0.6  # a stopping sender answers peers for so long, so that they get its last counts
 UID_BITS = 48
-BIND_TRIES, BACKLOG = 20, 64
-SWEEP, SWEEP_S, SWEEP_MOST = "sweep", 60.0, 16  # a duty: books in custody that are over are forgotten
+MAX_BIND_ATTEMPTS, BACKLOG = 20, 64
+# The holder of this duty has all witnesses forget finished books, so many in one act.
+SWEEP_DUTY, SWEEP_INTERVAL_S, MAX_BOOKS_PER_SWEEP = "sweep", 60.0, 16
 
 Start = Callable[[str, Callable[[], None]], None]
 
 
 def bind(address: Address, both: bool) -> tuple[socket.socket, socket.socket | None]:
-    """A socket for datagrams and, if so, a listener for connections at the same address."""
-    for attempt in range(BIND_TRIES):
+    """Binds a UDP socket and, with `both`, a TCP listener at the same address. Port 0 picks a free port."""
+    for attempt in range(MAX_BIND_ATTEMPTS):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM) if both else None
         try:
@@ -54,13 +57,13 @@
             sock.close()
             if listener is not None:
                 listener.close()
-            if address[1] or attempt + 1 == BIND_TRIES:  # a free port of one kind may be taken of the other
+            if address[1] or attempt + 1 == MAX_BIND_ATTEMPTS:  # a port free for UDP may be taken for TCP
                 raise
     raise OSError("no port")
 
 
 class Mesh:
-    """The peers of one sender: the socket, the node on it, its layers, and the questions it answers."""
+    """What one sender exchanges with its peers: the socket, the node on it, and the node's layers."""
 
     def __init__(
         self,
@@ -107,7 +110,7 @@
                     lambda text: say("lease", text),
                 )
                 layers += (self.leases.layer,)
-                space.settle(0, 2 * BLOCK)  # its file, and the one that takes its place
+                space.settle(0, 2 * BLOCK)  # its file, and the new file that replaces it
             if blocks.usage.count:
                 self.counting = Counting(
                     blocks.usage,
@@ -127,7 +130,7 @@
             from willownotch.links.edge import Edge as Links
             from willownotch.replica.service import LINKS, Keeper
 
-            edge = Links(
+            links = Links(
                 LINKS,
                 listener,
                 settings.listen[0],
@@ -140,7 +143,7 @@
                 blocks.replica,
                 name,
                 uid,
-                edge,
+                links,
                 folder,
                 files,
                 space,
@@ -148,7 +151,7 @@
                 lambda text: say("custody", text),
                 now,
             )
-            self.keeper.there = self.there
+            self.keeper.there = self.alive_members
         node = Node(membership, layers)
         self.edge = Edge(
             self.sock, node, Seal(uid, keys, node.decode), settings.budget, lambda text: say("peers", text)
@@ -161,22 +164,22 @@
             self.leases.lock = self.edge.lock
             if self.keeper is not None:
                 self.leases.does["forget"] = self.keeper.forget
-        firsts = [part.before for part in (self.counting, self.shared, self.leases) if part is not None]
-        self.edge.before = lambda now: [first(now) for first in firsts]
+        hooks = [part.before for part in (self.counting, self.shared, self.leases) if part is not None]
+        self.edge.before = lambda now: [hook(now) for hook in hooks]
 
-    def there(self) -> dict[str, tuple[int, Address]]:
-        """The others that are there, suspects among them: their processes and addresses."""
+    def alive_members(self) -> dict[str, tuple[int, Address]]:
+        """Returns the uid and address of each other member, by name, suspected ones included."""
         with self.edge.lock:
             return {m.name: (m.uid, m.address) for m in self.edge.node.membership.alive()}
 
     def start(self, start: Start) -> None:
-        """Start its threads; `start` makes one that must not end."""
+        """Starts the threads. `start` runs a function on a thread whose end stops the sender."""
         self._start = start
         start("peers", lambda: self.edge.run(self.blocks.peers.seeds))
         if self.keeper is not None:
             start("custody", self.keeper.run)
             start("custody-in", self.keeper.edge.run)
-        if self.keeper is not None and self.leases is not None and SWEEP in self.blocks.lease.duty:
+        if self.keeper is not None and self.leases is not None and SWEEP_DUTY in self.blocks.lease.duty:
             start("sweep", self._sweep)
         if self.counting is not None:
             start("usage", self.counting.keep)
@@ -184,15 +187,18 @@
         self.say("peers", f"{self.edge.node.membership.name} listens for peers on {host}:{port}")
 
     def _sweep(self) -> None:
-        """Who holds the duty has all witnesses forget books that are over."""
+        """While this sender holds the duty, has all witnesses forget finished books."""
         while True:
-            threading.Event().wait(SWEEP_S)
-            if self.leases.holds(SWEEP) and (books := self.keeper.over()):
-                for at in range(0, len(books), SWEEP_MOST):
-                    self.leases.act(SWEEP, b"forget " + " ".join(books[at : at + SWEEP_MOST]).encode())
+            threading.Event().wait(SWEEP_INTERVAL_S)
+            if self.leases.holds(SWEEP_DUTY) and (books := self.keeper.over()):
+                for start in range(0, len(books), MAX_BOOKS_PER_SWEEP):
+                    self.leases.act(
+                        SWEEP_DUTY,
+                        b"forget " + " ".join(books[start : start + MAX_BOOKS_PER_SWEEP]).encode(),
+                    )
 
     def register_handlers(self, server: Server) -> None:
-        """Register the questions that it answers."""
+        """Registers the handlers for control requests about peers."""
         server.handlers["peers"] = lambda about: self.edge.view()
         if self.counting is not None:
             server.handlers["usage"] = self.counting.answer
@@ -208,47 +214,47 @@
             return self.shared.view(time.monotonic())
 
     def reload(self, blocks: Blocks) -> str:
-        """Take other settings, keys among them; which of them hold only from the next start.
+        """Applies new settings, including keys; returns those that take effect only at the next start.
 
-        `KeysError`, and nothing changed, if the keys cannot be read.
+        `KeysError` if the keys cannot be read; then nothing has changed.
         """
-        old, fresh = self.blocks, blocks
-        keys = load_keys(fresh.peers.keys) if fresh.peers.keys else None
+        old, new = self.blocks, blocks
+        keys = load_keys(new.peers.keys) if new.peers.keys else None
         with self.edge.lock:
             if keys is not None:
                 self.edge.seal.roll(keys)
                 if self.keeper is not None:
                     self.keeper.edge.roll(keys)
             if self.keeper is not None:
-                self.keeper.configure(fresh.replica, self._space.room)
-            if fresh.peers != old.peers:
-                self.edge.node.membership.settings = fresh.peers
-                self.edge.budget = Budget(fresh.peers.budget, time.monotonic())
+                self.keeper.configure(new.replica, self._space.room)
+            if new.peers != old.peers:
+                self.edge.node.membership.settings = new.peers
+                self.edge.budget = Budget(new.peers.budget, time.monotonic())
             if self.leases is not None:
-                self.leases.reload(fresh.lease)
+                self.leases.reload(new.lease)
             if self.shared is not None:
-                self.shared.reload(fresh.shared)
+                self.shared.reload(new.shared)
             if self.counting is not None:
-                self.counting.usage.settings = fresh.usage
-                self.counting.book.tally.most = fresh.usage.rows
-        self.blocks = fresh
-        later = [
+                self.counting.usage.settings = new.usage
+                self.counting.book.tally.most = new.usage.rows
+        self.blocks = new
+        at_restart = [
             f"peers {word}"
             for word in ("listen", "advertise", "name", "seeds")
-            if getattr(old.peers, word) != getattr(fresh.peers, word)
+            if getattr(old.peers, word) != getattr(new.peers, word)
         ]
-        later += ["usage count"] * (bool(old.usage.count) != bool(fresh.usage.count))
-        later += ["lease"] * (old.lease.enabled() != fresh.lease.enabled())
-        later += [
+        at_restart += ["usage count"] * (bool(old.usage.count) != bool(new.usage.count))
+        at_restart += ["lease"] * (old.lease.enabled() != new.lease.enabled())
+        at_restart += [
             f"shared {word}"
             for word in ("budgets", "judgements", "instances")
-            if getattr(old.shared, word) != getattr(fresh.shared, word)
+            if getattr(old.shared, word) != getattr(new.shared, word)
         ]
-        later += ["replica"] * (old.replica.enabled() != fresh.replica.enabled())
-        return ", ".join(later)
+        at_restart += ["replica"] * (old.replica.enabled() != new.replica.enabled())
+        return ", ".join(at_restart)
 
     def stop(self) -> None:
-        """Leave: the last counts are still told, then the others hear that this instance goes."""
+        """Leaves the membership: sends the last counts, then tells the others that this sender is leaving."""
         if self.leases is not None:
             self.edge.last(self.leases.layer.leave)
         if self.keeper is not None:
