--- a/willownotch/management/__init__.py
+++ b/willownotch/management/__init__.py
@@ -1,5 +1,5 @@
-"""Operators' calls: one line in, one line out, on an address of its own.
+"""Operators' calls: a line protocol on an address of its own, one line per request and answer.
 
-`core` has the lines and opens nothing, `calls` the table of calls; `edge` is the one thread that answers.
-None of them waits for the owner, the journal or any lock that is held over I/O.
+`core` parses and answers lines without I/O, `calls` is the table of calls, and `server` is the thread that
+serves them. None of these waits for the decision loop, the journal or a lock that is held during I/O.
 """
--- a/willownotch/management/calls.py
+++ b/willownotch/management/calls.py
@@ -1,4 +1,4 @@
-"""What operators can call on this sender."""
+"""The calls that operators can make to this sender."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 class Calls:
-    """The table of calls. Each only reads or sets the wanted state; whoever it concerns follows it."""
+    """The table of calls. Each only reads or records the wanted state; other threads act on it."""
 
     def __init__(self, lifecycle: SharedLifecycle, clock: Clock, log: Log) -> None:
         self.lifecycle, self.clock, self.log = lifecycle, clock, log
-        self.empty: Callable[[], None] = lambda: None  # has idle connections ended, once there can be any
+        self.empty: Callable[[], None] = (
+            lambda: None
+        )  # closes idle connections; set once clients are accepted
         self.table: dict[str, Call] = {
             "health": self.health,
             "quiesce": self.quiesce,
@@ -29,28 +31,31 @@
         return self.lifecycle.current.state(self.clock.now()).value
 
     def health(self) -> str:
-        """Whether this process is ready to serve."""
+        """Returns the state of this process; an error unless it is ready to serve."""
         if not self.lifecycle.current.ready():
             raise CallError(self._state())
         return self._state()
 
     def counters(self) -> str:
-        """What was counted since this process began, on one line."""
+        """Returns all counters since this process started, on one line."""
         return f"process {os.getpid()}: {self.log.counters.summary()}; {RETRIES.summary()}"
 
     def quiesce(self) -> str:
-        """Empty the sender."""
-        if self._told(Event.QUIESCE):
-            self.log.say("drain", "an operator wants this sender empty: readiness says no from now on")
+        """Drains the sender: readiness turns negative and idle connections are closed."""
+        if self._record(Event.QUIESCE):
+            self.log.say(
+                "drain", "an operator has quiesced this sender: it reports that it is not ready from now on"
+            )
             self.empty()
         return self._state()
 
     def resume(self) -> str:
-        """Take clients again."""
-        if self._told(Event.RESUME):
-            self.log.say("drain", "an operator wants this sender back: it takes clients again")
+        """Ends the drain: the sender accepts clients again."""
+        if self._record(Event.RESUME):
+            self.log.say("drain", "an operator has resumed this sender: it accepts clients again")
         return self._state()
 
-    def _told(self, event: Event) -> bool:
+    def _record(self, event: Event) -> bool:
+        """Records an event of the lifecycle; returns whether it changed the state."""
         before = self.lifecycle.current
         return self.lifecycle.tell(event, self.clock.now()) != before
