--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""The control socket by itself: one question after another, or many at once, large ones and bad ones."""
+"""The control socket by itself: requests one after another or concurrently, large ones and invalid ones."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import pytest
 
 from willownotch.channel.client import AskError, ask
-from willownotch.channel.server import LINE_MOST, Server
+from willownotch.channel.server import MAX_LINE_BYTES, Server
 
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 
 
 def start(name, work):
@@ -21,97 +21,97 @@
 def serve(tmp_path):
     servers = []
 
-    def made(**more):
-        server = Server(tmp_path / f"s{len(servers)}", **more)
+    def make(**options):
+        server = Server(tmp_path / f"s{len(servers)}", **options)
         server.handlers["length"] = lambda about: len(about["text"])
         servers.append(server)
         start("control", server.run)
         return server
 
-    yield made
+    yield make
     for server in servers:
         server.close()
 
 
-def test_an_answer_that_takes_its_time_keeps_no_other_waiting(serve):
+def test_a_slow_answer_does_not_delay_others(serve):
     server = serve(start=start)
-    began, go_on = threading.Event(), threading.Event()
+    started, proceed = threading.Event(), threading.Event()
 
     def slow(about):
-        began.set()
-        assert go_on.wait(PATIENCE)
+        started.set()
+        assert proceed.wait(TIMEOUT_S)
         return "done"
 
     server.handlers["slow"] = slow
     found = []
-    asking = threading.Thread(target=lambda: found.append(ask(server.path, "slow", patience=PATIENCE)))
+    asking = threading.Thread(target=lambda: found.append(ask(server.path, "slow", timeout_s=TIMEOUT_S)))
     asking.start()
-    assert began.wait(PATIENCE)
+    assert started.wait(TIMEOUT_S)
     assert ask(server.path, "length", {"text": "abc"}) == 3
     assert not found
-    go_on.set()
-    asking.join(PATIENCE)
+    proceed.set()
+    asking.join(TIMEOUT_S)
     assert found == ["done"]
 
 
-def test_no_more_are_answered_at_once_than_is_said_and_the_rest_wait(serve):
-    server = serve(start=start, at_once=2)
-    lock, at_once, most = threading.Lock(), [], []
-    both, go_on = threading.Barrier(3), threading.Event()
+def test_the_number_of_concurrent_answers_is_bounded_and_the_rest_wait(serve):
+    server = serve(start=start, max_concurrent=2)
+    lock, running, counts = threading.Lock(), [], []
+    both, proceed = threading.Barrier(3), threading.Event()
 
     def slow(about):
         with lock:
-            at_once.append(1)
-            most.append(len(at_once))
-        if len(most) <= 2:
-            both.wait(PATIENCE)
-            assert go_on.wait(PATIENCE)
+            running.append(1)
+            counts.append(len(running))
+        if len(counts) <= 2:
+            both.wait(TIMEOUT_S)
+            assert proceed.wait(TIMEOUT_S)
         with lock:
-            at_once.pop()
+            running.pop()
         return "done"
 
     server.handlers["slow"] = slow
     found = []
     asking = [
-        threading.Thread(target=lambda: found.append(ask(server.path, "slow", patience=PATIENCE)))
+        threading.Thread(target=lambda: found.append(ask(server.path, "slow", timeout_s=TIMEOUT_S)))
         for _ in range(6)
     ]
     for thread in asking:
         thread.start()
-    both.wait(PATIENCE)
-    assert most == [1, 2] and not found
-    go_on.set()
+    both.wait(TIMEOUT_S)
+    assert counts == [1, 2] and not found
+    proceed.set()
     for thread in asking:
-        thread.join(PATIENCE)
-    assert found == ["done"] * 6 and max(most) == 2
+        thread.join(TIMEOUT_S)
+    assert found == ["done"] * 6 and max(counts) == 2
 
 
-@pytest.mark.parametrize("most", [LINE_MOST, 4 << 20])
-def test_a_question_may_be_as_large_as_is_said_and_no_larger(serve, most):
-    server = serve(line_most=most, start=start)
-    fits = most - 100
+@pytest.mark.parametrize("max_bytes", [MAX_LINE_BYTES, 4 << 20])
+def test_the_size_of_a_request_is_bounded(serve, max_bytes):
+    server = serve(max_line_bytes=max_bytes, start=start)
+    fits = max_bytes - 100
     assert ask(server.path, "length", {"text": "x" * fits}) == fits
     with pytest.raises(AskError):
-        ask(server.path, "length", {"text": "x" * (most + 200_000)})
+        ask(server.path, "length", {"text": "x" * (max_bytes + 200_000)})
     assert ask(server.path, "length", {"text": "after"}) == 5
 
 
-@pytest.mark.parametrize("said", [b"", b"\n", b"noise\n", b'{"ask": 1}\n', b'{"ask": "who"}\n', b'{"ask'])
-def test_bad_questions_are_told_so_and_the_next_one_is_answered(serve, said):
+@pytest.mark.parametrize("data", [b"", b"\n", b"noise\n", b'{"ask": 1}\n', b'{"ask": "who"}\n', b'{"ask'])
+def test_an_invalid_request_gets_an_error_and_the_next_one_is_answered(serve, data):
     for server in (serve(), serve(start=start)):
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(PATIENCE)
+            sock.settimeout(TIMEOUT_S)
             sock.connect(str(server.path))
-            sock.sendall(said)
+            sock.sendall(data)
             sock.shutdown(socket.SHUT_WR)
             assert b'"error"' in sock.makefile("rb").read()
         assert ask(server.path, "length", {"text": "abc"}) == 3
 
 
-def test_who_goes_away_without_an_answer_gives_its_place_back(serve):
-    server = serve(start=start, at_once=2)
+def test_a_client_that_disconnects_early_frees_its_slot(serve):
+    server = serve(start=start, max_concurrent=2)
     for _ in range(8):
         with socket.socket(socket.AF_UNIX) as sock:
             sock.connect(str(server.path))
             sock.sendall(b'{"ask"')
-    assert ask(server.path, "length", {"text": "abc"}, PATIENCE) == 3
+    assert ask(server.path, "length", {"text": "abc"}, TIMEOUT_S) == 3
--- a/willownotch/channel/__init__.py
+++ b/willownotch/channel/__init__.py
@@ -1,5 +1,5 @@
-"""The control channel of a running sender: a local Unix socket that answers questions.
+"""The control channel of a running sender: a local Unix socket that answers requests.
 
-Enters: a question as one JSON line. Leaves: its answer as one. It must not know what is asked; each subsystem
-registers its own questions. Off unless the `control` block of the settings file names a socket.
+A request is one JSON line, and so is its answer. The channel knows no subsystem: each registers handlers for
+its own requests. Off unless the `control` block of the settings file names a socket.
 """
--- a/willownotch/channel/client.py
+++ b/willownotch/channel/client.py
@@ -1,4 +1,4 @@
-"""Asks a running sender."""
+"""The client of a running sender's control socket."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 import msgspec
 
-PATIENCE = 10.0  # s for an answer
+TIMEOUT_S = 10.0  # for connecting and for each piece of the answer
 
 
 class AskError(Exception):
-    """No answer; the text says why."""
+    """There is no answer; the text says why."""
 
 
 class AnswerError(AskError):
-    """The answer says that the question is none."""
+    """The answer says that the request is invalid."""
 
 
 def ask(
-    path: str | Path, question: str, about: dict[str, str] | None = None, patience: float = PATIENCE
+    path: str | Path, request: str, about: dict[str, str] | None = None, timeout_s: float = TIMEOUT_S
 ) -> Any:
-    """The answer to a question, as plain values."""
+    """Sends a request to the socket at `path` and returns the answer as plain values."""
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(patience)
+        sock.settimeout(timeout_s)
         try:
             sock.connect(str(path))
-            sock.sendall(msgspec.json.encode({"ask": question, "about": about or {}}) + b"\n")
+            sock.sendall(msgspec.json.encode({"ask": request, "about": about or {}}) + b"\n")
             pieces = []
             while piece := sock.recv(65536):
                 pieces.append(piece)
-        except OSError as fault:
-            raise AskError(f"{path}: {fault.strerror or fault}") from None
+        except OSError as error:
+            raise AskError(f"{path}: {error.strerror or error}") from None
     try:
-        found = msgspec.json.decode(b"".join(pieces))
+        answer = msgspec.json.decode(b"".join(pieces))
     except msgspec.DecodeError:
-        raise AskError(f"{path}: an answer that cannot be read") from None
-    if isinstance(found, dict) and found.get("error"):
-        raise AnswerError(f"{path}: {found['error']}")
-    return found
+        raise AskError(f"{path}: the answer is not valid JSON") from None
+    if isinstance(answer, dict) and answer.get("error"):
+        raise AnswerError(f"{path}: {answer['error']}")
+    return answer
--- a/willownotch/channel/server.py
+++ b/willownotch/channel/server.py
@@ -1,4 +1,4 @@
-"""Answers on a Unix socket: one question a connection, one JSON line each way."""
+"""Answers requests on a Unix socket: one request per connection, one JSON line each way."""
 
 from __future__ import annotations
 
@@ -12,31 +12,34 @@
 
 import msgspec
 
-LINE_MOST = 64 * 1024  # bytes of a question
-PIECE = 64 * 1024  # bytes read at once
-PATIENCE = 2.0  # s that a client may take for its question, and to read a piece of its answer
+MAX_LINE_BYTES = 64 * 1024  # of a request
+READ_BYTES = 64 * 1024
+TIMEOUT_S = 2.0  # for a client to send a piece of its request, and to accept a piece of the answer
 BACKLOG = 16
-ACCEPT_REST = 0.05  # s after an accept that failed
+ACCEPT_RETRY_DELAY_S = 0.05  # after an accept that failed
 
 
-class Question(msgspec.Struct):
-    """What is asked, and of what."""
+class Request(msgspec.Struct):
+    """The request's name, and its arguments."""
 
     ask: str
     about: dict[str, str] = {}
 
 
 class BadRequestError(ValueError):
-    """A question that cannot be answered; the text says why."""
+    """A request cannot be answered; the text says why."""
 
 
-Answerer = Callable[[dict[str, str]], Any]
+Handler = Callable[[dict[str, str]], Any]  # from the arguments to the answer
 Start = Callable[[str, Callable[[], None]], None]
 
 
 def bind(path: Path, replace: bool = False) -> socket.socket:
-    """A listening socket at a path, for this user alone. One left by a dead process is replaced; `OSError`
-    if a living one has it, unless with `replace`: then that one has handed over to this process."""
+    """Binds a listening socket at a path, accessible to this user only.
+
+    A socket left by a dead process is replaced. If a live process listens there, `OSError`, unless `replace`
+    says that this process takes over from it.
+    """
     if replace:
         path.unlink(missing_ok=True)
     elif path.is_socket():
@@ -59,37 +62,37 @@
 
 
 class Server:
-    """Answers one client after the other; a slow one costs the next no more than the patience.
+    """Answers one client after the other; a slow client delays the next by the timeout at most.
 
-    With `start` it answers up to `at_once`, each on a thread of its own, so that an answer may take its time;
-    answerers are called by several threads then, and who comes on top waits its turn. `line_most`: bytes of a
-    question.
+    With `start`, which runs a function on a thread, it answers up to `max_concurrent` clients at once, each
+    on a thread of its own, so that slow handlers do not delay others. Handlers are then called on several
+    threads, and further clients wait. `max_line_bytes` bounds a request.
     """
 
     def __init__(
         self,
         path: str | Path,
-        line_most: int = LINE_MOST,
+        max_line_bytes: int = MAX_LINE_BYTES,
         start: Start | None = None,
-        at_once: int = 32,
+        max_concurrent: int = 32,
         replace: bool = False,
     ) -> None:
-        self.path, self.line_most, self.start = Path(path), line_most, start
-        self.handlers: dict[str, Answerer] = {}
-        self._places = threading.BoundedSemaphore(at_once if start is not None else 1)
+        self.path, self.max_line_bytes, self.start = Path(path), max_line_bytes, start
+        self.handlers: dict[str, Handler] = {}
+        self._slots = threading.BoundedSemaphore(max_concurrent if start is not None else 1)
         self._sock = bind(self.path, replace)
 
     def run(self) -> None:
-        """Answer until the process ends."""
+        """Serves clients until the socket is closed or the process ends."""
         while True:
-            self._places.acquire()
+            self._slots.acquire()
             try:
                 client, _ = self._sock.accept()
             except OSError:
-                self._places.release()
+                self._slots.release()
                 if self._sock.fileno() < 0:
                     return
-                time.sleep(ACCEPT_REST)  # descriptors are short: until one is free
+                time.sleep(ACCEPT_RETRY_DELAY_S)  # mostly out of descriptors
                 continue
             if self.start is None:
                 self._serve(client)
@@ -99,37 +102,37 @@
     def _serve(self, client: socket.socket) -> None:
         try:
             with client:
-                client.settimeout(PATIENCE)
-                client.sendall(self.answer(self._line(client)) + b"\n")
+                client.settimeout(TIMEOUT_S)
+                client.sendall(self.answer(self._read_line(client)) + b"\n")
         except OSError:
-            pass  # it went away
+            pass  # the client has gone
         finally:
-            self._places.release()
+            self._slots.release()
 
-    def _line(self, client: socket.socket) -> bytes:
+    def _read_line(self, client: socket.socket) -> bytes:
         data = bytearray()
-        while b"\n" not in data[-PIECE:] and len(data) <= self.line_most:
-            piece = client.recv(PIECE)
+        while b"\n" not in data[-READ_BYTES:] and len(data) <= self.max_line_bytes:
+            piece = client.recv(READ_BYTES)
             if not piece:
                 break
             data += piece
         return bytes(data.partition(b"\n")[0])
 
     def answer(self, line: bytes) -> bytes:
-        """A question's answer; what is wrong with it, if anything is."""
+        """Returns the answer to a request as JSON; `{"error": ...}` if the request is invalid."""
         try:
-            if len(line) > self.line_most:
-                raise BadRequestError(f"a question of more than {self.line_most} bytes")
-            question = msgspec.json.decode(line, type=Question)
-            if question.ask not in self.handlers:
+            if len(line) > self.max_line_bytes:
+                raise BadRequestError(f"a question of more than {self.max_line_bytes} bytes")
+            request = msgspec.json.decode(line, type=Request)
+            if request.ask not in self.handlers:
                 known = ", ".join(sorted(self.handlers)) or "nothing"
-                raise BadRequestError(f"unknown question {question.ask!r}, allowed: {known}")
-            found = self.handlers[question.ask](question.about)
-        except (msgspec.DecodeError, BadRequestError) as fault:
-            found = {"error": str(fault)}
-        return msgspec.json.encode(found)
+                raise BadRequestError(f"unknown question {request.ask!r}, allowed: {known}")
+            answer = self.handlers[request.ask](request.about)
+        except (msgspec.DecodeError, BadRequestError) as error:
+            answer = {"error": str(error)}
+        return msgspec.json.encode(answer)
 
     def close(self) -> None:
-        """Answer no more."""
+        """Closes and removes the socket; open connections are still answered."""
         self._sock.close()
         self.path.unlink(missing_ok=True)
--- a/willownotch/channel/tables.py
+++ b/willownotch/channel/tables.py
@@ -1,4 +1,4 @@
-"""Answers as tables for people."""
+"""Formats the answers of the control socket as tables."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from willownotch.columns import table
 
-ENDS = ("delivered", "handed_back", "given_up", "withdrawn")
+OUTCOMES = ("delivered", "handed_back", "given_up", "withdrawn")
 
 
 def format_duration(seconds: float | None) -> str:
-    """A time that has passed."""
+    """Formats a duration in seconds with a fitting unit; "-" for None."""
     if seconds is None:
         return "-"
-    for most, unit, size in ((120, "s", 1), (7200, "min", 60), (172_800, "h", 3600)):
-        if seconds < most:
+    for limit, unit, size in ((120, "s", 1), (7200, "min", 60), (172_800, "h", 3600)):
+        if seconds < limit:
             return f"{seconds / size:.3g} {unit}"
     return f"{seconds / 86400:.3g} d"
 
 
-def peers(found: dict[str, Any]) -> str:
-    """What a sender knows of its peers."""
+def peers(answer: dict[str, Any]) -> str:
+    """Formats what a sender knows of its peers."""
     rows = [
         [
             m["name"],
@@ -31,13 +31,13 @@
             format_duration(m["heard_s"]),
             m["why"],
         ]
-        for m in found["members"]
+        for m in answer["members"]
     ]
     head = (
-        f"{found['name']} at {found['address']}, health {found['health']} (0 is well), "
-        f"{sum(m['state'] in ('alive', 'suspect') for m in found['members'])} others there"
+        f"{answer['name']} at {answer['address']}, health {answer['health']} (0 is well), "
+        f"{sum(m['state'] in ('alive', 'suspect') for m in answer['members'])} others there"
     )
-    counted = [f"{count} {what}" for part in ("traffic", "refused") for what, count in found[part].items()]
+    counted = [f"{count} {what}" for part in ("traffic", "refused") for what, count in answer[part].items()]
     return "\n".join(
         [
             head,
@@ -47,13 +47,13 @@
     ).replace("\n\n", "\n")
 
 
-def usage(found: dict[str, Any]) -> str:
-    """What a sender knows of the fleet's usage."""
+def usage(answer: dict[str, Any]) -> str:
+    """Formats what a sender knows of the fleet's usage."""
     rows = []
-    for line in found["lines"]:
+    for line in answer["lines"]:
         taken = line["counts"]["taken"]
         high = "unknown" if taken["high"] is None else f"{taken['high']:.0f}"
-        ends = [str(line["counts"][what]["count"]) for what in ENDS]
+        outcomes = [str(line["counts"][what]["count"]) for what in OUTCOMES]
         rows.append(
             [
                 line["tenant"] or "(others)",
@@ -61,12 +61,12 @@
                 str(taken["count"]),
                 str(taken["low"]),
                 high,
-                *ends,
+                *outcomes,
                 f"{line['short_rate']:.1f}",
                 f"{line['long_rate']:.1f}",
             ]
         )
-    heads = [
+    headers = [
         "TENANT",
         "CLASS",
         "TAKEN",
@@ -79,21 +79,21 @@
         "PER S",
         "PER S, LONG",
     ]
-    told = [
-        f"{found['name']}: {found['lives']} processes and {found['settled']} settled ones; the oldest "
-        f"part is {found['oldest'] or '-'}'s, {format_duration(found['oldest_s'])} old"
+    lines = [
+        f"{answer['name']}: {answer['lives']} processes and {answer['settled']} settled ones; the oldest "
+        f"part is {answer['oldest'] or '-'}'s, {format_duration(answer['oldest_s'])} old"
     ]
-    if found["unheard"]:
-        told.append(f"not heard of yet, so nothing is bounded above: {', '.join(found['unheard'])}")
-    if found["broken"]:
-        told.append(f"own counts are in memory only: {found['broken']}")
-    if found["left_out"]:
-        told.append(f"{found['left_out']} more lines with lower counts")
-    return "\n".join([*told[:1], table(heads, rows), *told[1:]] if rows else told)
+    if answer["unheard"]:
+        lines.append(f"not heard of yet, so nothing is bounded above: {', '.join(answer['unheard'])}")
+    if answer["broken"]:
+        lines.append(f"own counts are in memory only: {answer['broken']}")
+    if answer["left_out"]:
+        lines.append(f"{answer['left_out']} more lines with lower counts")
+    return "\n".join([*lines[:1], table(headers, rows), *lines[1:]] if rows else lines)
 
 
-def replica(found: dict[str, Any]) -> str:
-    """What a sender holds, with whom, and for whom."""
+def replica(answer: dict[str, Any]) -> str:
+    """Formats a sender's books with their replicas, and the copies that it holds for others."""
     books = [
         [
             b["book"],
@@ -105,9 +105,9 @@
             " ".join(f"{r['name']}:{'?' if r['lag'] is None else r['lag']}" for r in b["replicas"]) or "-",
             " ".join(b["witnesses"]),
         ]
-        for b in found["books"]
+        for b in answer["books"]
     ]
-    held = [
+    copies = [
         [
             c["book"],
             c["owner"],
@@ -117,30 +117,30 @@
             "yes" if c["sure"] else "no",
             format_duration(c["heard_s"]),
         ]
-        for c in found["copies"]
+        for c in answer["copies"]
     ]
     counted = [
-        f"{count} {what}" for part in ("counts", "traffic", "refused") for what, count in found[part].items()
+        f"{count} {what}" for part in ("counts", "traffic", "refused") for what, count in answer[part].items()
     ]
     return "\n".join(
         [
-            f"{found['name']}: new messages go into {found['current'] or 'no book'}, "
-            f"witness of {found['terms']} books",
+            f"{answer['name']}: new messages go into {answer['current'] or 'no book'}, "
+            f"witness of {answer['terms']} books",
             table(
                 ["BOOK", "TERM", "STAGE", "LEASE", "MESSAGES", "BELOW W", "REPLICAS:LAG", "WITNESSES"], books
             )
             if books
             else "owns no book",
-            table(["HOLDS COPY OF", "OWNER", "TERM", "MESSAGES", "BYTES", "SURE", "HEARD"], held)
-            if held
+            table(["HOLDS COPY OF", "OWNER", "TERM", "MESSAGES", "BYTES", "SURE", "HEARD"], copies)
+            if copies
             else "holds no copies",
             "counted: " + (", ".join(counted) or "nothing"),
         ]
     )
 
 
-def shared(found: dict[str, Any]) -> str:
-    """What a sender shares with others, how old it is, and what counts of it."""
+def shared(answer: dict[str, Any]) -> str:
+    """Formats a sender's budgets, the judgements of endpoints with their ages, and those that count here."""
     budgets = [
         [
             b["name"],
@@ -150,28 +150,28 @@
             f"{b['borrowed']:.1%}",
             f"{b['demand']:.1f}",
         ]
-        for b in found["budgets"]
+        for b in answer["budgets"]
     ]
 
-    def word(failing: bool | None) -> str:
+    def describe(failing: bool | None) -> str:
         return "-" if failing is None else "fails" if failing else "works"
 
     rows = [
         [
             r["endpoint"],
             r["source"],
-            word(r["failing"]),
+            describe(r["failing"]),
             "-" if r["limit"] is None else f"{r['limit']:g}",
             format_duration(r["age_s"]),
         ]
-        for r in found["rows"]
+        for r in answer["rows"]
     ]
-    verdicts = [f"{v['endpoint']} {word(v['failing'])} by {v['sources']}" for v in found["verdicts"]]
+    verdicts = [f"{v['endpoint']} {describe(v['failing'])} by {v['sources']}" for v in answer["verdicts"]]
     return "\n".join(
         [
-            f"{found['name']}: owns {found['own']:.1%} of each budget; a loan ends after "
-            f"{format_duration(found['loan_s'])}, what is found of an endpoint after "
-            f"{format_duration(found['judgement_s'])}",
+            f"{answer['name']}: owns {answer['own']:.1%} of each budget; a loan ends after "
+            f"{format_duration(answer['loan_s'])}, what is found of an endpoint after "
+            f"{format_duration(answer['judgement_s'])}",
             table(["BUDGET", "PER S", "PART", "LENT", "BORROWED", "DEMAND"], budgets)
             if budgets
             else "no budgets",
@@ -183,8 +183,8 @@
     )
 
 
-def leases(found: dict[str, Any]) -> str:
-    """Who holds which duty, its token and the time left."""
+def leases(answer: dict[str, Any]) -> str:
+    """Formats who holds which duty, its token and the time left."""
     rows = [
         [
             d["duty"],
@@ -196,12 +196,12 @@
             str(d["taken"]),
             str(d["refused"]),
         ]
-        for d in found["duties"]
+        for d in answer["duties"]
     ]
     return "\n".join(
         [
-            f"{found['name']}: leases of {format_duration(found['span_s'])}, granted by a majority of "
-            f"{', '.join(found['electors'])}",
+            f"{answer['name']}: leases of {format_duration(answer['span_s'])}, granted by a majority of "
+            f"{', '.join(answer['electors'])}",
             table(["DUTY", "HOLDER", "TOKEN", "LEFT", "HERE", "ACTS", "TAKEN", "REFUSED"], rows)
             if rows
             else "no duties",
@@ -209,32 +209,32 @@
     )
 
 
-def follow(found: dict[str, Any] | None) -> str:
-    """What a sender follows, and what it has in force."""
-    if found is None:
+def follow(answer: dict[str, Any] | None) -> str:
+    """Formats which member a sender follows, and the revision that it has in force."""
+    if answer is None:
         return "nothing is followed yet: another process has the folder"
-    told = [
-        f"{found['name']} follows {found['member'] or 'no member'}: revision {found['in_force']} in "
-        f"force, {found['revision']} held (token {found['token']}, digest {found['digest'][:12]}), "
-        f"{found['entries']} entries; a member was heard {format_duration(found['unheard_s'])} ago"
+    lines = [
+        f"{answer['name']} follows {answer['member'] or 'no member'}: revision {answer['in_force']} in "
+        f"force, {answer['revision']} held (token {answer['token']}, digest {answer['digest'][:12]}), "
+        f"{answer['entries']} entries; a member was heard {format_duration(answer['unheard_s'])} ago"
     ]
-    if found["refused"]:
-        told.append(f"revision {found['refused']} was refused here: {found['text']}")
-    if found["copying"]:
-        told.append("a copy of what differs is under way")
-    counted = [f"{count} {what}" for what, count in found["counters"].items()]
-    return "\n".join([*told, "counted: " + (", ".join(counted) or "nothing")])
+    if answer["refused"]:
+        lines.append(f"revision {answer['refused']} was refused here: {answer['text']}")
+    if answer["copying"]:
+        lines.append("a copy of what differs is under way")
+    counted = [f"{count} {what}" for what, count in answer["counters"].items()]
+    return "\n".join([*lines, "counted: " + (", ".join(counted) or "nothing")])
 
 
-def counters(found: dict[str, Any]) -> str:
-    """What a sender has counted since it began."""
+def counters(answer: dict[str, Any]) -> str:
+    """Formats the counters of a sender's process."""
     rows = [
         [event, reason, str(count)]
         for part in ("counters", "retries")
-        for event, reasons in found[part].items()
+        for event, reasons in answer[part].items()
         for reason, count in reasons.items()
     ]
-    return f"process {found['process']}\n" + table(["EVENT", "REASON", "COUNT"], rows)
+    return f"process {answer['process']}\n" + table(["EVENT", "REASON", "COUNT"], rows)
 
 
 TABLES: dict[str, Callable[[dict[str, Any]], str]] = {
