--- a/willownotch/blocks.py
+++ b/willownotch/blocks.py
@@ -18,7 +18,7 @@
 
 
 class Blocks(msgspec.Struct, frozen=True):
-    """All that a settings file may hold."""
+    """All blocks that a settings file may contain."""
 
     bodies: Annotated[BodiesSettings, NestedBlock(BodiesSettings)] = BodiesSettings()
     control: Annotated[ChannelSettings, NestedBlock(ChannelSettings)] = ChannelSettings()
@@ -31,8 +31,8 @@
     usage: Annotated[UsageSettings, NestedBlock(UsageSettings)] = UsageSettings()
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together over blocks."""
-        wanted = "wanted: a block peers with 'listen' and 'keys'"
+        """Returns settings of different blocks that contradict each other, as field and error text."""
+        wanted = "wanted: a 'peers' block with 'listen' and 'keys'"
         found = []
         if self.usage.count and self.peers.listen is None:
             found.append(("usage", f"'count yes' without peers, {wanted}"))
@@ -45,5 +45,5 @@
         if self.member.enabled() and self.peers.listen is None:
             found.append(("member", f"'folder' without peers, {wanted}"))
         if self.shared.budgets and self.usage.share_quotas:
-            found.append(("shared", "'budgets' and 'share-quotas' of usage both, allowed: one of them"))
+            found.append(("shared", "both 'budgets' and 'share-quotas' of usage, allowed: one of them"))
         return found
