--- a/tests/meshed.py
+++ b/tests/meshed.py
@@ -1,4 +1,4 @@
-"""Real senders with peers and counts, behind a relay that plays a bad network."""
+"""Real senders with peers and usage counts, behind a relay that simulates a bad network."""
 
 from __future__ import annotations
 
@@ -21,43 +21,43 @@
 
 
 class MeshFleet:
-    """Senders with peers behind a relay."""
+    """Senders that are peers of each other through a relay; sender n is the member `i<n>`."""
 
     def __init__(self, number, tmp_path, weather=None, seed=1, peers=FAST, usage=" exchange 50ms\n"):
         self.relay = Relay(seed, weather)
         self.host = Host()
         self.discovery = Discovery([self.host])
-        self.path = tmp_path
+        self.folder = tmp_path
         self.keys = tmp_path / "keys"
         self.keys.write_text(KEYS)
-        self.doors = [self.relay.door(f"i{n}") for n in range(number)]
+        self.relay_addresses = [self.relay.door(f"i{n}") for n in range(number)]
         self.peers, self.usage = peers, usage
         self.senders = [None] * number
         for n in range(number):
             self.start_sender(n)
 
     def settings(self, n):
-        doors = [f"{host}:{port}" for host, port in self.doors]
-        seeds = "" if n == 0 else f" seeds {doors[0]}\n"
+        addresses = [f"{host}:{port}" for host, port in self.relay_addresses]
+        seeds = "" if n == 0 else f" seeds {addresses[0]}\n"
         return (
-            f"peers {{\n listen 127.0.0.{11 + n}:0\n advertise {doors[n]}\n name i{n}\n"
+            f"peers {{\n listen 127.0.0.{11 + n}:0\n advertise {addresses[n]}\n name i{n}\n"
             f" keys {self.keys}\n{seeds}{self.peers}}}\nusage {{\n count yes\n{self.usage}}}\n"
             f"control {{\n socket {self.socket(n)}\n}}\n"
         )
 
     def socket(self, n):
-        return self.path / f"s{n}"
+        return self.folder / f"s{n}"
 
     def start_sender(self, n):
         self.senders[n] = Sender(self.discovery, settings=self.settings(n))
         self.register_address(n)
 
     def register_address(self, n):
-        """The relay has to know the new socket."""
+        """Tells the relay where a started sender listens, and waits until the sender is ready."""
         sender = self.senders[n]
-        said = f"i{n} listens for peers on "
-        until(lambda: any(said in line for line in sender.lines))
-        port = next(line.rsplit(":", 1)[1] for line in sender.lines if said in line)
+        text = f"i{n} listens for peers on "
+        until(lambda: any(text in line for line in sender.lines))
+        port = next(line.rsplit(":", 1)[1] for line in sender.lines if text in line)
         self.relay.behind(f"i{n}", (f"127.0.0.{11 + n}", int(port)))
         sender.ready()
 
@@ -69,13 +69,15 @@
         self.register_address(n)
 
     def taken(self, n, what="taken"):
-        """What an instance holds to be taken on."""
+        """How many messages of the fleet sender n knows to be accepted, or to have another outcome `what`."""
         return sum(line["counts"][what]["count"] for line in ask(self.socket(n), "usage")["lines"])
 
-    def all_hold(self, number):
-        until(lambda: all(self.taken(n) == number for n in range(len(self.senders))))
+    def wait_counted(self, count):
+        """Waits until all senders know that so many messages were accepted."""
+        until(lambda: all(self.taken(n) == count for n in range(len(self.senders))))
 
     def wait_joined(self, patience=harness.PATIENCE):
+        """Waits until all senders know each other."""
         until(
             lambda: all(self.alive_peers(n) == len(self.senders) - 1 for n in range(len(self.senders))),
             patience,
@@ -83,6 +85,7 @@
         return self
 
     def alive_peers(self, n):
+        """How many other members sender n takes for alive."""
         return sum(m["state"] == "alive" for m in ask(self.socket(n), "peers")["members"])
 
     def close(self):
--- a/tests/test_shared_sockets.py
+++ b/tests/test_shared_sockets.py
@@ -1,4 +1,4 @@
-"""Budgets and judgements with real senders and faults between them."""
+"""Budgets and judgements with real senders, over a network with faults."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from willownotch.shared.layer import SharingLayer
 
 PATIENCE = 20.0
-QUOTA, BURST_S, MEMBERS = 50.0, 2.0, 4
+QUOTA, BURST_S, MEMBERS = 50.0, 2.0, 4  # messages a second; seconds of quota accepted at once; senders
 
 
 class SharingFleet(MeshFleet):
-    """Senders with one budget in parts, and judgements."""
+    """Senders that share one tenant's budget, and their judgements of endpoints."""
 
     shared = (
         f" budgets yes\n hard acme\n instances {MEMBERS}\n loan 1s\n exchange 50ms\n"
         " judgements yes\n judgement 2s\n"
     )
 
-    def __init__(self, number, tmp_path, weather=None, more=""):
-        self.shared += more
+    def __init__(self, number, tmp_path, weather=None, extra_settings=""):
+        self.shared += extra_settings
         super().__init__(number, tmp_path, weather, usage="")
 
     def settings(self, n):
@@ -53,35 +53,35 @@
 
 
 @pytest.fixture
-def sharing(tmp_path):
-    made = []
+def new_fleet(tmp_path):
+    fleets = []
 
-    def make(number=MEMBERS, weather=None, more=""):
-        made.append(SharingFleet(number, tmp_path, weather, more))
-        return made[-1].wait_joined(PATIENCE)
+    def make(number=MEMBERS, weather=None, extra_settings=""):
+        fleets.append(SharingFleet(number, tmp_path, weather, extra_settings))
+        return fleets[-1].wait_joined(PATIENCE)
 
     yield make
-    for each in made:
-        each.close()
+    for fleet in fleets:
+        fleet.close()
 
 
 class Load(threading.Thread):
-    """Hands messages in as fast as they are answered, until told to stop; when each was let through."""
+    """Sends messages as fast as they are answered, until stopped; `taken` has the time of each acceptance."""
 
     def __init__(self, sender, name):
         super().__init__(daemon=True)
-        self.sender, self.name_, self.taken, self.refused = sender, name, [], 0
-        self.ending = threading.Event()
+        self.sender, self.client, self.taken, self.refused = sender, name, [], 0
+        self.stopping = threading.Event()
 
     def run(self):
         count = 0
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             try:
                 sock = self.sender.connect()
-                while not self.ending.is_set():
+                while not self.stopping.is_set():
                     count += 1
                     headers = [
-                        ("Request-Id", f"{self.name_}-{count}"),
+                        ("Request-Id", f"{self.client}-{count}"),
                         ("Request-Class", "status"),
                         ("Tenant", "acme"),
                         ("Request-Timeout-Ms", "8000"),
@@ -94,27 +94,27 @@
                         self.taken.append(time.monotonic())
                     else:
                         self.refused += 1
-                        self.ending.wait(0.004)
+                        self.stopping.wait(0.004)
             except OSError:
-                self.ending.wait(0.05)
+                self.stopping.wait(0.05)
 
     def stop(self):
-        self.ending.set()
+        self.stopping.set()
         self.join()
         return self.taken
 
 
 def most_over(times, quota, slack):
-    """By how much any stretch of time saw more let through than the quota and the slack allow."""
-    times, worst, low = sorted(times), 0.0, float("inf")
+    """Returns by how much the messages accepted in any interval exceed the quota and the slack."""
+    times, worst, lowest = sorted(times), 0.0, float("inf")
     for n, at in enumerate(times):
-        low = min(low, n - quota * at)  # the best place for a stretch to begin
-        worst = max(worst, n + 1 - quota * at - low)
+        lowest = min(lowest, n - quota * at)  # the start that gives the worst interval up to here
+        worst = max(worst, n + 1 - quota * at - lowest)
     return worst - slack
 
 
-def test_halves_that_hear_nothing_of_each_other_stay_within_one_budget_and_join_again(sharing):
-    fleet = sharing()
+def test_a_partitioned_fleet_stays_within_one_budget_and_recovers(new_fleet):
+    fleet = new_fleet()
     until(lambda: all(abs(fleet.part(n) - 0.25) < 0.01 for n in range(MEMBERS)), PATIENCE)
     loads = [Load(sender, f"l{n}") for n, sender in enumerate(fleet.senders)]
     for load in loads:
@@ -131,8 +131,8 @@
     assert most_over(times, QUOTA, QUOTA * BURST_S + MEMBERS + QUOTA * 0.2) <= 0
 
 
-def test_an_idle_senders_part_is_lent_and_comes_back_when_it_is_cut_off(sharing):
-    fleet = sharing()
+def test_an_idle_senders_part_is_lent_and_returned_when_it_is_cut_off(new_fleet):
+    fleet = new_fleet()
     load = Load(fleet.senders[0], "l0")
     load.start()
     until(lambda: fleet.part(0) > 0.6, PATIENCE)
@@ -142,8 +142,8 @@
     load.stop()
 
 
-def test_through_loss_delay_and_one_way_links_the_budget_holds(sharing):
-    fleet = sharing(weather=Weather(loss=0.2, delay=0.15, repeat=0.1))
+def test_the_budget_holds_through_loss_delay_and_one_way_links(new_fleet):
+    fleet = new_fleet(weather=Weather(loss=0.2, delay=0.15, repeat=0.1))
     fleet.relay.weather = Weather(loss=0.5, delay=0.1, jitter=0.2, cut=lambda a, b: a == "i3")
     loads = [Load(sender, f"l{n}") for n, sender in enumerate(fleet.senders[:3])]
     for load in loads:
@@ -153,8 +153,8 @@
     assert most_over(times, QUOTA, QUOTA * BURST_S + MEMBERS + QUOTA * 0.2) <= 0
 
 
-def test_a_sender_that_is_killed_and_begins_anew_does_not_spend_what_it_had_lent(sharing):
-    fleet = sharing()
+def test_a_restarted_sender_does_not_spend_what_it_had_lent(new_fleet):
+    fleet = new_fleet()
     load = Load(fleet.senders[0], "l0")
     load.start()
     until(lambda: fleet.part(0) > 0.6, PATIENCE)
@@ -163,12 +163,12 @@
     other.start()
     until(lambda: len(other.taken) > QUOTA, PATIENCE)
     times = load.stop() + other.stop()
-    # A process that begins has a burst of its own.
+    # A new process allows a burst of its own.
     assert most_over(times, QUOTA, 2 * QUOTA * BURST_S + MEMBERS + QUOTA * 0.2) <= 0
 
 
-def test_a_sender_that_was_stopped_spends_after_it_only_what_is_its_own(sharing):
-    fleet = sharing()
+def test_a_paused_sender_spends_only_its_own_part_when_it_continues(new_fleet):
+    fleet = new_fleet()
     loads = [Load(fleet.senders[n], f"l{n}") for n in (0, 1)]
     loads[0].start()
     until(lambda: fleet.part(0) > 0.6, PATIENCE)
@@ -182,20 +182,20 @@
     assert most_over(times, QUOTA, 2 * QUOTA * BURST_S + MEMBERS + QUOTA * 0.2) <= 0
 
 
-def test_what_a_sender_finds_of_an_endpoint_reaches_the_others_and_ends_with_it(sharing):
-    fleet = sharing(more=" sources 1\n")
-    down = [Host(), Host()]
-    for host in down:
-        host.close()  # who calls it is refused
+def test_a_judgement_reaches_the_others_and_expires_when_its_sources_die(new_fleet):
+    fleet = new_fleet(extra_settings=" sources 1\n")
+    failing = [Host(), Host()]
+    for host in failing:
+        host.close()  # refuses connections from now on
     fleet.discovery.index += 1
-    fleet.discovery.entries += [fleet.discovery.entry(n + 1, host, group=8) for n, host in enumerate(down)]
+    fleet.discovery.entries += [fleet.discovery.entry(n + 1, host, group=8) for n, host in enumerate(failing)]
     fleet.discovery.tell(
         json.dumps({"index": fleet.discovery.index, "snapshot": False, "endpoints": fleet.discovery.entries})
     )
-    ending = threading.Event()
+    stopping = threading.Event()
 
     def hand_in():
-        while not ending.wait(0.02):
+        while not stopping.wait(0.02):
             for n in (0, 1):
                 fleet.senders[n].hand_in("status", left=3000, dest=8)
 
@@ -203,8 +203,8 @@
     thread.start()
     until(lambda: all(any(v["failing"] for v in fleet.view(n)["verdicts"]) for n in (2, 3)), PATIENCE)
     until(lambda: any("fails, by what others say" in line for line in fleet.senders[2].lines))
-    assert len(fleet.view(2)["verdicts"]) == 1  # of two endpoints no more than half on their word
-    ending.set()
+    assert len(fleet.view(2)["verdicts"]) == 1  # others can take out no more than half of the two endpoints
+    stopping.set()
     thread.join()
     for n in (0, 1):
         fleet.senders[n].process.kill()
@@ -212,28 +212,28 @@
     until(lambda: any("works, by what others say" in line for line in fleet.senders[2].lines))
 
 
-def liar(fleet):
-    """A member with the right keys that holds every endpoint for down."""
+def start_lying_member(fleet):
+    """Starts a member with valid keys that says that a working endpoint fails; returns its edge."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.99", 0))
-    uid, door = secrets.randbits(48), fleet.relay.door("liar")
+    uid, address = secrets.randbits(48), fleet.relay.door("liar")
     fleet.relay.behind("liar", sock.getsockname())
     judgements = Judgements("liar", uid, 2.0, 2, 0.5, 1000)
     layer = SharingLayer("liar", lambda: 0.05, Random(1), None, judgements, time.monotonic())
-    node = Node(Membership("liar", door, uid, PeersSettings(), Random(2)), (layer,))
+    node = Node(Membership("liar", address, uid, PeersSettings(), Random(2)), (layer,))
     edge = Edge(sock, node, Seal(uid, read_keys(KEYS), node.decode), 10**6, lambda text: None)
 
     def lie(now):
         judgements.told(now, "s-0", works=False)
 
     edge.before = lie
-    threading.Thread(target=edge.run, args=((fleet.doors[0],),), daemon=True).start()
+    threading.Thread(target=edge.run, args=((fleet.relay_addresses[0],),), daemon=True).start()
     return edge
 
 
-def test_a_member_that_says_what_is_not_so_holds_nothing_up(sharing):
-    fleet = sharing(3)
-    edge = liar(fleet)
+def test_a_lying_member_does_not_prevent_deliveries(new_fleet):
+    fleet = new_fleet(3)
+    edge = start_lying_member(fleet)
     try:
         until(
             lambda: all(
@@ -248,7 +248,7 @@
         edge.stop()
 
 
-def test_with_nothing_set_nothing_is_shared():
+def test_without_settings_nothing_is_shared():
     assert SETTINGS["policyLimits"]["maxOpen"]
     sender = None
     try:
