--- a/willownotch/blocks.py
+++ b/willownotch/blocks.py
@@ -32,18 +32,18 @@
 
     def faults(self) -> list[tuple[str, str]]:
         """Returns settings of different blocks that contradict each other, as field and error text."""
-        wanted = "wanted: a 'peers' block with 'listen' and 'keys'"
+        requirement = "wanted: a 'peers' block with 'listen' and 'keys'"
         found = []
         if self.usage.count and self.peers.listen is None:
-            found.append(("usage", f"'count yes' without peers, {wanted}"))
+            found.append(("usage", f"'count yes' without peers, {requirement}"))
         if self.replica.enabled() and self.peers.listen is None:
-            found.append(("replica", f"'acks' without peers, {wanted}"))
+            found.append(("replica", f"'acks' without peers, {requirement}"))
         if self.lease.enabled() and self.peers.listen is None:
-            found.append(("lease", f"duties without peers, {wanted}"))
+            found.append(("lease", f"duties without peers, {requirement}"))
         if self.shared.enabled() and self.peers.listen is None:
-            found.append(("shared", f"'budgets' or 'judgements' without peers, {wanted}"))
+            found.append(("shared", f"'budgets' or 'judgements' without peers, {requirement}"))
         if self.member.enabled() and self.peers.listen is None:
-            found.append(("member", f"'folder' without peers, {wanted}"))
+            found.append(("member", f"'folder' without peers, {requirement}"))
         if self.shared.budgets and self.usage.share_quotas:
             found.append(("shared", "both 'budgets' and 'share-quotas' of usage, allowed: one of them"))
         return found
--- a/willownotch/management/calls.py
+++ b/willownotch/management/calls.py
@@ -17,9 +17,8 @@
 
     def __init__(self, lifecycle: SharedLifecycle, clock: Clock, log: Log) -> None:
         self.lifecycle, self.clock, self.log = lifecycle, clock, log
-        self.empty: Callable[[], None] = (
-            lambda: None
-        )  # closes idle connections; set once clients are accepted
+        # Closes idle connections while the sender drains; set once clients are accepted.
+        self.empty: Callable[[], None] = lambda: None
         self.table: dict[str, Call] = {
             "health": self.health,
             "quiesce": self.quiesce,
@@ -43,9 +42,7 @@
     def quiesce(self) -> str:
         """Drains the sender: readiness turns negative and idle connections are closed."""
         if self._record(Event.QUIESCE):
-            self.log.say(
-                "drain", "an operator has quiesced this sender: it reports that it is not ready from now on"
-            )
+            self.log.say("drain", "an operator has quiesced this sender: it reports not ready from now on")
             self.empty()
         return self._state()
 
--- a/willownotch/settings/reader.py
+++ b/willownotch/settings/reader.py
@@ -97,9 +97,9 @@
         try:
             found = _parser.parse(line).children
         except lark.UnexpectedToken as error:
-            wanted = " or ".join(sorted(TOKEN_DESCRIPTIONS.get(name, name) for name in error.expected))
+            expected = " or ".join(sorted(TOKEN_DESCRIPTIONS.get(name, name) for name in error.expected))
             self.add_error(
-                number, max(1, error.column), f"unexpected {str(error.token)!r}, allowed: {wanted}"
+                number, max(1, error.column), f"unexpected {str(error.token)!r}, allowed: {expected}"
             )
             return
         except lark.UnexpectedCharacters as error:
--- a/willownotch/shared/budgets.py
+++ b/willownotch/shared/budgets.py
@@ -21,7 +21,7 @@
 MAX_DRIFT_SHARE = 0.05  # how much two clocks may differ in speed
 DEMAND_HEADROOM = 1.25  # times the demand: kept before anything is lent, and the total that is borrowed up to
 DEMAND_WINDOW_S = 2.0  # over which demand is averaged
-MAX_REQUESTS = 24  # loan requests in one message
+MAX_REQUESTS = 24  # loan requests to one member in an exchange
 MIN_LOAN_PPM = WHOLE_PPM // 1000  # smaller loans are not worth their bytes
 MAX_BUDGETS = 20_000
 
@@ -109,8 +109,7 @@
         return WHOLE_PPM // self.instances
 
     def part(self, name: str, now: float, lead_s: float = 0.0) -> int:
-        """Returns the ppm of a budget that may be spent now; with a lead, without the loans that end by
-        then."""
+        """Returns the ppm of a budget that may be spent now; with a lead, excluding loans that end before."""
         budget = self.budgets[name]
         self._drop_expired(budget, now)
         borrowed = sum(loan.amount for loan in budget.borrowed.values() if loan.until > now + lead_s)
--- a/willownotch/shared/judgements.py
+++ b/willownotch/shared/judgements.py
@@ -30,8 +30,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """What a process says of an endpoint. `age_ms` is the time since it affirmed this, when the row is
-    sent."""
+    """What a process says of an endpoint. `age_ms` is the time since it last affirmed it, as of sending."""
 
     uid: int  # of the process
     source: str  # the member's name
@@ -124,8 +123,7 @@
     def tick(self, now: float) -> None:
         """Affirms the own judgements that still hold and drops rows that were not affirmed in time."""
         for endpoint, own in list(self.own.items()):
-            # That an endpoint works again is sent once and not kept up: the next failure is a judgement of
-            # its own.
+            # "Works again" need not be kept up: it only ends a failure, and the next one is a new judgement.
             if own.failing is False and now - own.changed_at > self.lifetime_s:
                 own.failing = None
             if own.limit is not None and now - own.limit_at > self.lifetime_s:
@@ -192,11 +190,9 @@
     # Verdicts
 
     def verdicts(self, now: float, endpoints: dict[str, int]) -> dict[str, Verdict]:
-        """Returns the verdicts that count here, by endpoint. `endpoints` has the destination of each listed
-        one.
+        """Returns the verdicts that count here, by endpoint; `endpoints` maps those listed to destinations.
 
-        Sources are counted by name: a process that restarts is the same source, which may be wrong both
-        times.
+        Sources are counted by name, so a wrong member that restarts does not count twice.
         """
         by_endpoint: dict[str, dict[str, StoredRow]] = {}
         for (uid, endpoint), stored in self.rows.items():
--- a/willownotch/shared/layer.py
+++ b/willownotch/shared/layer.py
@@ -18,7 +18,7 @@
 
 
 class LoanRequests(msgspec.Struct, tag=40, frozen=True, array_like=True):
-    """Requests loans. `stamp` is the sender's clock in microseconds; the answer returns it."""
+    """Requests loans. `stamp` is the sender's clock in microseconds; the answer returns it unchanged."""
 
     source: str
     stamp: int
@@ -62,7 +62,7 @@
         self._due_at, self._rounds = now, 0
 
     def due(self) -> float:
-        """When the next exchange is due."""
+        """Returns when the next exchange is due."""
         return self._due_at
 
     def tick(self, now: float, membership: Membership) -> list[Send]:
@@ -109,7 +109,7 @@
 
 
 def split(sends: list[Send]) -> list[Send]:
-    """Splits messages that are too large for a datagram, which long names make of them."""
+    """Splits messages that would not fit a datagram, which can happen with long names."""
     found = []
     for send in sends:
         message = send.message
--- a/willownotch/shared/service.py
+++ b/willownotch/shared/service.py
@@ -89,8 +89,7 @@
 
 
 class SharedState:
-    """Budgets and judgements of one sender. `lock` is the membership's and is set before the membership
-    starts."""
+    """Budgets and judgements of one sender. `lock` is the membership's, set before the membership starts."""
 
     def __init__(
         self, settings: SharedSettings, name: str, uid: int, instances: int, now: float, random: Random
--- a/willownotch/shared/settings.py
+++ b/willownotch/shared/settings.py
@@ -9,7 +9,7 @@
 
 from willownotch.settings.types import CountType, DurationType, Flag, ListType, ShareType, TextType, YesNo
 
-HALF_SECOND = timedelta(milliseconds=500)
+HALF_S = timedelta(milliseconds=500)
 
 
 class SharedSettings(msgspec.Struct, frozen=True):
@@ -17,22 +17,18 @@
 
     budgets: YesNo = Flag.NO  # tenants' quotas are held in parts that senders lend each other
     instances: Annotated[int, CountType(1, 4096)] | None = None  # at once; else the configuration's number
-    hard: Annotated[tuple[str, ...], ListType(TextType("a tenant's name"))] = ()  # rejected above their quota
-    loan: Annotated[timedelta, DurationType(HALF_SECOND, timedelta(minutes=5))] = timedelta(seconds=3)
-    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), 20 * HALF_SECOND)] = (
-        0.4 * HALF_SECOND
-    )
+    # Tenants whose messages above the quota are rejected.
+    hard: Annotated[tuple[str, ...], ListType(TextType("a tenant's name"))] = ()
+    loan: Annotated[timedelta, DurationType(HALF_S, timedelta(minutes=5))] = timedelta(seconds=3)
+    exchange: Annotated[timedelta, DurationType(timedelta(milliseconds=20), 20 * HALF_S)] = 0.4 * HALF_S
     keep: Annotated[float, ShareType(0.0, 1.0)] = 0.1  # share of the own part that is never lent
     judgements: YesNo = Flag.NO  # senders tell each other which endpoints fail
-    judgement: Annotated[timedelta, DurationType(HALF_SECOND, timedelta(minutes=10))] = (
-        10 * HALF_SECOND
-    )  # how long valid
-    sources: Annotated[int, CountType(1, 16)] = (
-        2  # senders that must agree before their judgement counts here
-    )
-    most_share: Annotated[float, ShareType(0.0, 1.0)] = (
-        0.5  # of a destination's endpoints, taken for failing so
-    )
+    # How long a judgement is valid.
+    judgement: Annotated[timedelta, DurationType(HALF_S, timedelta(minutes=10))] = 10 * HALF_S
+    # How many other senders must agree before their judgement counts here.
+    sources: Annotated[int, CountType(1, 16)] = 2
+    # The share of a destination's endpoints that others' judgements may mark as failing.
+    most_share: Annotated[float, ShareType(0.0, 1.0)] = 0.5
     rows: Annotated[int, CountType(16, 10**6)] = 4096  # judgements kept, one for each source and endpoint
 
     def enabled(self) -> bool:
