--- a/willownotch/blocks.py
+++ b/willownotch/blocks.py
@@ -18,7 +18,7 @@
 
 
 class Blocks(msgspec.Struct, frozen=True):
-    """All that a settings file may hold."""
+    """All blocks that a settings file may contain."""
 
     bodies: Annotated[BodiesSettings, NestedBlock(BodiesSettings)] = BodiesSettings()
     control: Annotated[ChannelSettings, NestedBlock(ChannelSettings)] = ChannelSettings()
@@ -31,19 +31,19 @@
     usage: Annotated[UsageSettings, NestedBlock(UsageSettings)] = UsageSettings()
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together over blocks."""
-        wanted = "wanted: a block peers with 'listen' and 'keys'"
+        """Returns settings of different blocks that contradict each other, as field and error text."""
+        requirement = "wanted: a 'peers' block with 'listen' and 'keys'"
         found = []
         if self.usage.count and self.peers.listen is None:
-            found.append(("usage", f"'count yes' without peers, {wanted}"))
+            found.append(("usage", f"'count yes' without peers, {requirement}"))
         if self.replica.enabled() and self.peers.listen is None:
-            found.append(("replica", f"'acks' without peers, {wanted}"))
+            found.append(("replica", f"'acks' without peers, {requirement}"))
         if self.lease.enabled() and self.peers.listen is None:
-            found.append(("lease", f"duties without peers, {wanted}"))
+            found.append(("lease", f"duties without peers, {requirement}"))
         if self.shared.enabled() and self.peers.listen is None:
-            found.append(("shared", f"'budgets' or 'judgements' without peers, {wanted}"))
+            found.append(("shared", f"'budgets' or 'judgements' without peers, {requirement}"))
         if self.member.enabled() and self.peers.listen is None:
-            found.append(("member", f"'folder' without peers, {wanted}"))
+            found.append(("member", f"'folder' without peers, {requirement}"))
         if self.shared.budgets and self.usage.share_quotas:
-            found.append(("shared", "'budgets' and 'share-quotas' of usage both, allowed: one of them"))
+            found.append(("shared", "both 'budgets' and 'share-quotas' of usage, allowed: one of them"))
         return found
