--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A sender on a hand-driven clock, for the tests."""
+"""A sender on a clock that the test sets, and helpers for its actions."""
 
 from willownotch.control import Controller
 from willownotch.interface import (
@@ -22,9 +22,8 @@
 SAFE = MessageClass("safe", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE)
 KEYED = MessageClass("keyed", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ALL, 10.0)
 ZONED = MessageClass("zoned", 2.0, 2.0, 20.0, 0.5, Idempotency.KEYED, DedupScope.ZONE, 10.0)
-UNSAFE = MessageClass(
-    "unsafe", 4.0, 2.0, 20.0, 0.5, Idempotency.UNSAFE, DedupScope.ALL, 10.0
-)  # no memory helps it
+# Its dedup window must have no effect.
+UNSAFE = MessageClass("unsafe", 4.0, 2.0, 20.0, 0.5, Idempotency.UNSAFE, DedupScope.ALL, 10.0)
 ORDERED = MessageClass("ordered", 1.0, 2.0, 20.0, 0.5, Idempotency.SAFE, in_order=True)
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 
@@ -44,7 +43,7 @@
 
 
 class Sender:
-    """Drives one controller; `rows` are (endpoint, destination, kind, zone)."""
+    """Drives one controller; `rows` are (endpoint, destination, kind, zone) of the endpoint list."""
 
     def __init__(self, rows=((1, 1, 0, 0),), seed=5, **changes):
         self.settings = settings(**changes)
@@ -76,14 +75,14 @@
         return self.step(Timer(1), after=after)
 
     def serve(self, count, gap=0.1, took=0.1, dest=1):
-        """Deliver `count` messages, one at a time, so that the sender knows the destination."""
+        """Deliver `count` messages one by one, so that the sender knows the usual latency and rate."""
         for _ in range(count):
             sent = sends(self.step(self.message(dest=dest), after=gap))
             assert len(sent) == 1
             self.step(self.ended(sent[0], Outcome.DELIVERED, took), after=took)
 
     def fail(self, outcome=Outcome.UNREACHABLE, most=10):
-        """Let calls fail until the route is judged failing."""
+        """Let calls fail until endpoint 1 is judged failing."""
         self.step(self.message(), after=0.1)
         for _ in range(most):
             out = self.step(Timer(1), after=0.05)
@@ -91,10 +90,10 @@
                 self.step(self.ended(send, outcome))
             if self.control.store.routes[1].failing:
                 return
-        raise AssertionError("never judged failing")
+        raise AssertionError("endpoint 1 was not judged failing")
 
     def waiting(self):
-        """Sends without outcome, as read from the module's own record."""
+        """Attempts without an outcome, read from the module's state."""
         found = []
         for job in self.control.store.jobs.values():
             for number, (call, ran) in enumerate(job.attempts):
