--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Slopes: the fit finds a known growth, the held-out size is predicted, nothing is claimed far beyond it."""
+"""Fits of growth: a known growth is found, the held-out size predicted, and no claim made far beyond it."""
 
 import math
 import sys
