--- a/tests/test_cold_endpoint.py
+++ b/tests/test_cold_endpoint.py
@@ -1,21 +1,18 @@
-"""The incident of 2026-12-02: a destination that had come back cold fell again under the calls that it got.
+"""A destination that returns cold from an outage must not fail again under the calls of all its senders.
 
-Symptom: destinations that had been out for 11 s came back and fell a second time, each under the sum of
-some 45 senders, most of which had met the outage.
-
-Sequence and causes, each played here on its own:
-- The end of the slow start. Each sender grew its calls over the settings' `coldS` and then let go of all
-  that it held, by its own date of the return, which for half of them lies before the true one.
-- A restart in the outage. The new process knew nothing of the outage and sent what it found in its folder
-  at once. The incident's log shows it: "1 messages owed" in the outage, and nothing of endpoints for 15 s.
+In the incident of 2026-12-02 destinations that had been out for 11 s returned and failed a second time under
+the sum of some 45 senders. Each cause is tested on its own:
+- The end of the slow start: each sender raised its calls over `coldS` and then released all held messages,
+  by its own estimate of the return, which is too early for half of the senders.
+- A restart in the outage: the new process knew nothing of the outage and sent what its folder held at once.
 - A process without a folder, which knows nothing at all.
 
-Figures that settled it, by the version before: 12 senders, limit 60 a second, windows of 1 s, a slow start
-of 4 s: fell 3.73 and 3.86 s after the return at 131 of 130 and 135 of 134 calls (not told a limit, 1.2 of
-it to send); 0.20 and 0.26 s after it at 48 of 48 (killed in the outage, with their folders); 0.99 and 1.46
-s after it (without). In simulated time, with more senders: `test_slow_start_fleets.py`.
+The version before the fix failed with 12 senders, limit 60 per second, windows of 1 s and a slow start of
+4 s: 3.73 and 3.86 s after the return at 131 of 130 and 135 of 134 calls (limit not reported, load 1.2 x the
+limit); 0.20 and 0.26 s after it at 48 of 48 (killed in the outage, with folders); 0.99 and 1.46 s after it
+(without folders). `test_slow_start_fleets.py` tests more senders in simulated time.
 
-Real processes over loopback. The stand-in counts each call by its sender and falls at its budget.
+Runs real processes over loopback. The fake endpoint counts calls by sender and fails above its budget.
 """
 
 from itertools import cycle
@@ -37,7 +34,7 @@
 
 
 def fleet(destination, *steps):
-    """A run in which nothing else goes wrong; `steps` are done to the senders in turn, one to each."""
+    """A run without other faults; each of `steps` is applied to one sender, in turn."""
     return Plan(
         seed=1,
         seconds=SECONDS,
