--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file: what the platform builds, starts and counts as the sender."""
+"""The deploy file: what the platform builds and starts, and which files belong to the sender."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
-def test_everything_that_serve_loads_is_named_as_node_or_policy():
+def test_every_loaded_module_is_listed_as_node_or_policy():
     code = (
         "import json, sys, willownotch.cli; print(json.dumps("
         "[m.__file__ for n, m in sys.modules.items() if n.startswith('willownotch')]))"
