--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What the repository promises of its files, and that equal events give equal actions."""
+"""Size limits of the decision module, and its determinism."""
 
 import random
 from pathlib import Path
