--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as written, and answers what it says."""
+"""The README's library example runs as written, with the actions that it states."""
 
 import re
 from pathlib import Path
@@ -15,4 +15,4 @@
     exec(first, names)
     assert [type(a) for a in names["actions"]] == [Send, SetTimer]
     assert (names["actions"][0].ref, names["actions"][0].endpoint) == ("a1", 7)
-    assert names["later"] == []  # a call is out and its time has not come: nothing to do
+    assert names["later"] == []  # a call is in flight and not overdue: nothing to do
