--- a/tests/test_slow_start_cases.py
+++ b/tests/test_slow_start_cases.py
@@ -1,10 +1,9 @@
-"""The rule on cold endpoints as a property of drawn fleets: `python -m willownotch.lab.recovery --cases
-0-1000`.
+"""The rule on cold endpoints, tested on random fleets: `python -m willownotch.lab.recovery --cases 0-1000`.
 
-A seed draws the senders, the limit (told, kept, listed or not at all), the load, outages of all kinds and
-lengths, one or two in a row, seen by all or by half, who is restarted or upgraded when, with a folder or
-without, who is held, how many endpoints fail. No window of a slow start may have more calls than it
-grants, two thirds of them by senders that had seen a call fail.
+A seed draws the senders, the limit (reported, enforced, listed or none), the load, one or two outages of any
+kind and length, seen by all senders or by half, which senders are restarted, upgraded or paused and when,
+with a folder or without, and how many endpoints fail. No window of a slow start may have more calls than the
+rule allows, two thirds of them by senders that had seen a call fail.
 """
 
 import pytest
@@ -13,7 +12,7 @@
 from willownotch.lab.recovery.play import play
 
 CASES, BLOCK = 100, 10
-STILL_OVER = (42, 78, 85)  # of these; of 0 to 399 they are in benchmarks/results/slow-start-cases.json
+STILL_OVER = (42, 78, 85)  # of these seeds; those of 0 to 399 are in benchmarks/results/slow-start-cases.json
 
 
 @pytest.mark.parametrize("first", range(0, CASES, BLOCK))
