--- a/tests/test_slow_start_floor.py
+++ b/tests/test_slow_start_floor.py
@@ -1,11 +1,11 @@
-"""What a slow start may cost: bounds from below, beside those from above in the other tests.
-
-A new process beside one endpoint that never failed accepted 53 of 150 messages, 58 after a kill without its
-folder: with nothing known of the endpoint it took it for cold, held its messages back at a fifth of what was
-usual for 14 s, its holding room filled, and the rest was answered 503. The version without the bound
-accepted all 150. No test noticed, since every test of the slow start bounded it from above. In fleets of a
-handful of senders the rule grants more for chance (three roots and three) than is sent there at all, and
-none of that was used: of what was offered in drawn slow starts 0.892 was delivered, 0.8 with 45 senders.
+"""Lower bounds on the calls in a slow start; the other tests have the upper bounds.
+
+A new process beside one endpoint that never failed accepted 53 of 150 messages, and 58 after a kill without
+its folder: it assumed that the unknown endpoint was cold and limited calls to a fifth of the usual rate for
+14 s, so its holding room filled and the other messages were answered 503. The version without the bound
+accepted all 150. In fleets of a few senders the rule's margin for chance (three roots and three) is more than
+they send at all, and it was not used: in random slow starts 0.892 of the offered messages were delivered, 0.8
+with 45 senders.
 """
 
 import threading
@@ -22,8 +22,8 @@
 
 CLIENTS, EACH, GAP_S = 6, 25, 0.01
 MESSAGES = CLIENTS * EACH
-TOOK_S = 0.005  # a call
-LIMIT = 60.0  # of all senders, a second, where one is told or listed
+TOOK_S = 0.005  # duration of a call
+LIMIT = 60.0  # calls per second of all senders, if reported or listed
 DELIVERED_BY_S = SAFE.wanted_s
 
 
@@ -31,8 +31,8 @@
     return EndpointList((Endpoint(number, number, 0, 0, rate=rate),), whole=False)
 
 
-def burst(sender, dest, told):
-    """All clients hand in, the endpoint answers each call; how many were refused, and when the last went."""
+def burst(sender, dest, reported):
+    """All clients hand in and the endpoint answers each call; how many were refused, late and left."""
     calls, refused, late = [], 0, []
     began, given = sender.now, 0
     while sender.now < began + DELIVERED_BY_S + 1.0:
@@ -42,7 +42,7 @@
             given += 1
         done = [call for call in calls if call[0] <= sender.now]
         calls = [call for call in calls if call[0] > sender.now]
-        limit = {"limit_per_s": LIMIT, "room_left": 1.0} if told else {}
+        limit = {"limit_per_s": LIMIT, "room_left": 1.0} if reported else {}
         events += [sender.ended(sent, Outcome.DELIVERED, took=TOOK_S, **limit) for _, sent in done]
         late += [sent for at, sent in done if sender.now - began > DELIVERED_BY_S]
         out = sender.step(*events, after=0.001)
@@ -81,7 +81,7 @@
 
 
 def hand_in_all(sender):
-    """Six clients, 25 messages each, 10 ms apart; how many were accepted."""
+    """Hand in 25 messages from each of six clients, 10 ms apart; the accepted ones."""
     accepted = []
 
     def client(number):
@@ -116,7 +116,7 @@
             sender.start()
             sender.ready()
         accepted = hand_in_all(sender)
-        # The pages' share of the plainest policy on a calm day; it refuses nothing here.
+        # The share that the simplest policy reaches without faults; it refuses nothing here.
         assert len(accepted) >= 0.95 * MESSAGES, len(accepted)
         until(lambda: set(accepted) <= set(host.refs()))
     finally:
@@ -125,7 +125,7 @@
         host.close()
 
 
-# Slow starts that are due
+# Slow starts after real outages
 
 HANDFUL = {
     "4 senders": Case(0, senders=4, limit_per_s=4.0, enforces=False),
@@ -138,8 +138,8 @@
 
 
 @pytest.mark.parametrize("name", HANDFUL)
-def test_a_handful_of_senders_use_what_the_rule_grants_to_chance(name):
-    """Where a window may have more calls than are offered in it, nine in ten of these are delivered."""
+def test_a_few_senders_use_the_margin_for_chance(name):
+    """If a window may have more calls than are offered, nine in ten of the offered ones are delivered."""
     case = HANDFUL[name]
     results = [play(Case(**{**vars(case), "seed": seed})) for seed in range(1, 6)]
     assert all(result.kept for result in results), "\n".join(r.text() for r in results if not r.kept)
@@ -152,7 +152,7 @@
 
 
 def test_drawn_fleets_deliver_nine_tenths_of_what_could_go_in_their_slow_starts():
-    """Of what is offered, or of what the settings allow a window without chance, where that is less."""
+    """Of the offered messages, or of what the settings allow without the margin if that is less."""
     results = [play(draw(seed)) for seed in DRAWN]
     share = sum(min(1.0, r.delivered / max(1.0, r.grantable)) for r in results) / len(results)
     assert share >= 0.9, share
