--- a/tests/test_slow_start_lines.py
+++ b/tests/test_slow_start_lines.py
@@ -1,4 +1,4 @@
-"""What a sender says and counts of an endpoint that fails, returns and is warm again."""
+"""Log lines and counters about an endpoint that fails, returns and is warm again."""
 
 from harness import Discovery, Host, until
 from harness import Sender as SenderProcess
@@ -7,13 +7,13 @@
 from willownotch.interface import CallPhase, Log, Outcome, Timer
 
 
-def test_each_attempt_tells_the_state_of_its_endpoint():
+def test_each_attempt_has_the_state_of_its_endpoint():
     sender = Sender()
     first = sends(sender.step(sender.message()))
     assert [sent.phase for sent in first] == [CallPhase.ORDINARY]
     sender.step(sender.ended(first[0], Outcome.DELIVERED))
     sender.fail()
-    sender.now += 3.0  # what answered within 2 s was no outage
+    sender.now += 3.0  # an answer within 2 s would mean that there was no outage
     sent = []
     while not sent:
         sent = sends(sender.step(Timer(1), sender.message(), after=0.5))
