--- a/willownotch/state.py
+++ b/willownotch/state.py
@@ -81,7 +81,7 @@
     max_rate: float | None = None  # average calls per second; follows rises faster than falls
     mean_rate: float | None = None  # calls per second, idle periods included
     high_latency: float | None = None  # M of the concurrency limit: smoothed maximum of latencies, s
-    expected: float = inf  # expected latency, s
+    expected: float = inf  # expected latency: 2 x the calm p99, s
     costs: list[float] = field(default_factory=list)  # latencies of this period, s
     maxima: list[float] = field(default_factory=list)  # maximum latencies of this period, s
     since_maximum: int = 0  # successes since the last maximum
