--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from willownotch.net.client_connections import Client, Stage, StageQueues
 from willownotch.net.client_side import ClientSide
 from willownotch.net.clock import Clock
-from willownotch.net.decision_loop import DecisionLoop, Owed
+from willownotch.net.decision_loop import DecisionLoop, Delivery
 from willownotch.net.endpoint_side import BEGIN_LATE, EndpointSide, IdleConnection, Relay
 from willownotch.net.events import Answer, HandIn, Verdict
 from willownotch.net.log import Log
@@ -311,7 +311,7 @@
     for ref, more in (("a1", {}), ("a2", {}), ("a1", {"destination": 8})):
         pending = PendingReply()
         taken = msgspec.structs.replace(known, ref=ref, **more)
-        decision_loop._take(HandIn(taken, pending), clock.now(), [], [], [])
+        decision_loop._process_item(HandIn(taken, pending), clock.now(), [], [], [])
         answers.append(pending.wait(SPAN, SPAN).verdict)
     assert answers == [Verdict.ACCEPTED, Verdict.REJECTED, Verdict.REJECTED]
 
@@ -331,9 +331,9 @@
     decision_loop._recovered = None
     taken = AcceptedMessage("a1", 7, message_class, "acme", clock.now() + SPAN)
     relay = Relay(taken, 0, 1, None, clock.now(), clock.now() + SPAN)
-    decision_loop._outstanding["a1"] = Owed(taken, count=1, active_relays={0: relay}, over=True)
+    decision_loop._outstanding["a1"] = Delivery(taken, relay_count=1, active_relays={0: relay}, over=True)
     pending = PendingReply()
-    decision_loop._take(HandIn(taken, pending), clock.now(), [], [], [])
+    decision_loop._process_item(HandIn(taken, pending), clock.now(), [], [], [])
     assert pending.wait(SPAN, SPAN).verdict is verdict
 
 
@@ -379,7 +379,7 @@
 
 def test_a_watch_that_trickles_half_a_line_is_silent(monkeypatch):
     """Each byte counted as a word: what the list had to tell was waited for without end."""
-    monkeypatch.setattr(registry, "SILENCE", timedelta(milliseconds=100))
+    monkeypatch.setattr(registry, "SILENCE_TIMEOUT", timedelta(milliseconds=100))
     discovery, clock, heard, ended = Trickle(), Clock(), [], []
     where = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
     watch = EndpointListWatcher(config(), where, Log(clock), clock, heard.append)
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -21,7 +21,7 @@
 from willownotch.net.clock import Clock
 from willownotch.net.decision_loop import DecisionLoop
 from willownotch.net.events import HandIn, Verdict
-from willownotch.net.journal import NAME, NEW_NAME, Journal, JournalUnsureError
+from willownotch.net.journal import NAME, NEW_NAME, Journal, JournalUncertainError
 from willownotch.net.log import Log
 from willownotch.net.pending import PendingReply
 
@@ -55,7 +55,7 @@
     faults += [SHORT, *also]
     with pytest.raises(OSError) as raised:
         journal.append(messages("b", "c", "d", "e"))
-    assert not isinstance(raised.value, JournalUnsureError)
+    assert not isinstance(raised.value, JournalUncertainError)
     assert found(tmp_path) == ["a"]
 
 
@@ -64,7 +64,7 @@
     journal = opened(tmp_path, faults)
     journal.append(messages("a"))
     faults += [SHORT, NO_CUT, NO_NEW]
-    with pytest.raises(JournalUnsureError):
+    with pytest.raises(JournalUncertainError):
         journal.append(messages("b", "c", "d", "e"))
     assert found(tmp_path) == ["a", "b", "c"]  # so nobody may be told that they are not accepted
     faults.clear()
@@ -78,7 +78,7 @@
     faults += [Fault(Kind.IO_ERROR, "append", NAME), NO_CUT, NO_NEW]
     with pytest.raises(OSError) as raised:
         journal.append(messages("a"))
-    assert not isinstance(raised.value, JournalUnsureError)
+    assert not isinstance(raised.value, JournalUncertainError)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -514,13 +514,13 @@
         clock = Clock()
         decision_loop = DecisionLoop(config, clock, Log(clock), None, None, None, SharedLifecycle())
         decision_loop._recovered = None
-        decision_loop._round_at = clock.now()
+        decision_loop._round_started_at = clock.now()
         decision_loop.post(1)
         threading.Timer(0.01, decision_loop.post, (2,)).start()
         self.assertEqual(decision_loop._next_items(), [1, 2])
         decision_loop.config = msgspec.structs.replace(config, period=timedelta(0))
         for took, share in [(timedelta(0), [1]), (timedelta(milliseconds=20), [1, 2])]:  # long rounds: fewer
-            decision_loop._took, decision_loop._round_at = took, clock.now()
+            decision_loop._round_duration, decision_loop._round_started_at = took, clock.now()
             decision_loop.post(1)
             timer = threading.Timer(0.01, decision_loop.post, (2,))
             timer.start()
--- a/willownotch/net/bulk.py
+++ b/willownotch/net/bulk.py
@@ -1,4 +1,5 @@
-"""Several messages in one call: its body as bytes, and what the answer says of each. No I/O."""
+"""The format of a call that carries several messages: its body, and its answer with a line for each. No
+I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from willownotch.interface import Outcome
 
 TARGET = "/inbox/bulk"
-# What the answer says of a message: its outcome, and whether it is over for the host, too.
+# Word of the answer: the message's outcome, and whether the host has finished with the message.
 WORDS = {
     "delivered": (Outcome.DELIVERED, True),
     "failed": (Outcome.ERROR, False),
@@ -18,7 +19,7 @@
 
 
 def write_body(messages: Iterable[tuple[str, str | None, bytes]]) -> bytes:
-    """Of each message its id, its idempotency key and its bytes."""
+    """The body of a call, from the id, the idempotency key and the body of each message."""
     parts = []
     for ref, key, body in messages:
         parts += [f"{ref} {key or '-'} {len(body)}\r\n".encode("latin-1"), body, b"\r\n"]
@@ -26,12 +27,15 @@
 
 
 def line_room(ref: str, key: str | None) -> int:
-    """Bytes that a message takes besides its body."""
+    """Upper bound of the bytes that a message takes besides its body."""
     return len(ref) + len(key or "-") + 16
 
 
 def read_answer(body: bytes, refs: Iterable[str]) -> dict[str, tuple[Outcome, bool]]:
-    """What became of each message. One that is left out, named twice or with another word may have run."""
+    """The outcome of each message, and whether the host has finished with it.
+
+    A message that the answer omits, names twice or gives an unknown word may have been executed: an error.
+    """
     said: dict[str, list[str]] = {}
     for line in body.decode("latin-1").splitlines():
         ref, _, word = line.strip().partition(" ")
--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -1,7 +1,7 @@
-"""The one thread that owns the decision module: a queue in, timers in a heap, actions out.
+"""The single thread that runs the decision module: items from a queue and due timers in, actions out.
 
-A message comes in by `HandIn` and goes out by exactly one ending. Nothing here knows how either travels: a
-second protocol hands in the same `Taken`, waits on the same `PendingReply` and keeps the same rules.
+Each message comes in as a `HandIn` and reaches exactly one final outcome. Nothing here depends on the
+transport: another protocol would hand in the same `AcceptedMessage` and wait on the same `PendingReply`.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from willownotch.bodies.store import Bodies, size_and_checksum
 from willownotch.control import Controller
 from willownotch.handover.state import HandoverState, OutstandingCall, OutstandingMessage
-from willownotch.journal import records as kept_records
+from willownotch.journal import records as journal_records
 from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, Record, RelayFailed
 from willownotch.lifecycle import Event, SharedLifecycle
 from willownotch.net import bulk, http
 from willownotch.net.clock import ZERO, Clock, millis, seconds, span
 from willownotch.net.config import Config, ListUpdate
-from willownotch.net.decision_loop_replication import BACK_OFF, REMEMBERED, ReplicationMixin
+from willownotch.net.decision_loop_replication import DEFAULT_RETRY_AFTER, REMEMBER_TIME, ReplicationMixin
 from willownotch.net.endpoint_side import END_MARGIN, Relay, RelayEnded
 from willownotch.net.events import (
     Answer,
@@ -38,22 +38,22 @@
     BookAcquired,
     BookExpired,
     BookLost,
-    Copied,
     Flush,
     HandIn,
     HandOver,
-    Item,
     MakeRoom,
-    MayTell,
-    Noticed,
+    NoticeReplicated,
+    NoticesAnswered,
+    QueueItem,
     RemoteEnded,
+    ReplicationEnded,
     SettingsUpdate,
     SharedStateUpdate,
     TenantParts,
     Verdict,
     Withdraw,
 )
-from willownotch.net.journal import Journal, JournalFullError, JournalUnsureError
+from willownotch.net.journal import Journal, JournalFullError, JournalUncertainError
 from willownotch.net.log import Log
 from willownotch.net.pending import PendingReply
 from willownotch.net.registry import Hosts, Notice
@@ -66,35 +66,36 @@
     from willownotch.replica.service import Keeper
     from willownotch.shared.service import BudgetParts, EndpointFindings, SharedState
 
-FIRST_NEWS = timedelta(milliseconds=300)  # recovered messages wait so long for the watch's first word
-KILL_AFTER = timedelta(milliseconds=3500)  # SIGKILL comes no sooner after SIGTERM, with some margin
-REMOTE_GRACE = timedelta(seconds=1)  # after a call's time, for the process before to tell its end
-BATCH_MOST = 256
-OUTLOOKS_SPARE = 64  # destinations remembered beyond the listed ones before they are forgotten
-BULK_MOST = http.MAX_BODY_BYTES  # bytes of one call, whatever a kind takes
-LOOKED_AT = 2000  # owed messages that are looked at for room in one go
-WRITE_AGAIN = timedelta(milliseconds=500)  # records that could not be written are tried again so often
-ROUND_SHARE, GAP_MOST = 3, timedelta(milliseconds=40)  # x the last round's time from its start to the next's
+FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)  # for which recovered messages wait for a list of endpoints
+KILL_AFTER = timedelta(milliseconds=3500)  # earliest SIGKILL after SIGTERM, less a margin
+REMOTE_CALL_GRACE = timedelta(seconds=1)  # after a call's deadline, for the previous process to report it
+MAX_ITEMS_PER_ROUND = 256
+SPARE_FORECASTS = 64  # forecasts kept for unlisted destinations before they are purged
+MAX_BULK_CALL_BYTES = http.MAX_BODY_BYTES  # of one call, whatever batch size its destination kind allows
+MAX_MESSAGES_SCANNED = 2000  # outstanding messages examined in one search for space
+WRITE_RETRY_DELAY = timedelta(milliseconds=500)  # between attempts to write records that the disk refused
+# Time between the starts of two rounds: this many times the last round's duration, within a bound.
+ROUND_GAP_FACTOR, MAX_ROUND_GAP = 3, timedelta(milliseconds=40)
 
 
 @dataclass(slots=True)
-class Owed:
-    """A message in the module's hands, its relays counted as the module counts them."""
+class Delivery:
+    """The delivery of one accepted message, with its relays numbered as the decision module numbers them."""
 
     message: AcceptedMessage
-    count: int = 0
+    relay_count: int = 0  # started so far; the number of the next one
     active_relays: dict[int, Relay] = field(default_factory=dict)
     over: bool = False
-    pending: PendingReply | None = None  # until its client has its answer
-    by: PendingReply | None = None  # of the hand-in that it was taken on by
-    confirmed: bool = False  # another hand-in of it was answered: a failed first answer withdraws nothing
-    unwritten: bool = False  # its record could not be written: its client was turned away
-    copying: bool = False  # its client waits until others hold it
-    parked: list[Relay] = field(default_factory=list)  # and so do its relays
+    pending: PendingReply | None = None  # None once its client has been answered
+    accepted_by: PendingReply | None = None  # the reply of the hand-in that started it
+    confirmed: bool = False  # a repeated hand-in was answered 202: a failed first answer must not withdraw it
+    unwritten: bool = False  # its record could not be written and its client was rejected
+    replicating: bool = False  # its client is answered once other senders hold a copy
+    held_relays: list[Relay] = field(default_factory=list)  # relays that wait for those copies
 
 
 def same_message(one: AcceptedMessage, other: AcceptedMessage) -> bool:
-    """Whether two hand-ins under one id are of the same message; its time left differs each time."""
+    """Whether two hand-ins under one id are the same message. The time left differs and is not compared."""
     fields = ("destination", "message_class", "tenant", "key", "idempotency_key")
     return all(getattr(one, name) == getattr(other, name) for name in fields) and (
         one.body == other.body
@@ -104,14 +105,17 @@
 
 
 def soonest_first(entries: list[Entry]) -> list[Entry]:
-    """Recovered messages as the module is told of them: all come in one round, and among equals it goes by
-    their order. What has a key keeps the journal's, which is its key's."""
+    """Recovered messages in the order in which the decision module receives them, earliest deadline first.
+
+    All come in one round, and the module breaks ties by position. Messages with a key come first and keep the
+    journal's order, which is the order of their key.
+    """
     keyed = [entry for entry in entries if entry.message.key is not None]
     return keyed + sorted((e for e in entries if e.message.key is None), key=lambda e: e.message.ends_at)
 
 
 class DecisionLoop(ReplicationMixin):
-    """Owns the module. All that sockets have to say reaches it through `post`."""
+    """Runs the decision module. Other threads reach it only through `post` and the methods that say so."""
 
     def __init__(
         self,
@@ -122,133 +126,142 @@
         hosts: Hosts,
         bodies: Bodies,
         lifecycle: SharedLifecycle,
-        tells: bool = False,
+        shares_judgements: bool = False,
     ) -> None:
-        self.lifecycle, self.tells = lifecycle, tells
+        self.lifecycle, self.shares_judgements = lifecycle, shares_judgements
         self.config, self.clock, self.log, self.journal, self.hosts = config, clock, log, journal, hosts
         self.bodies = bodies
         self.settings = self._settings_of(config)
         self.controller = Controller(self.settings, config.seed)
-        self._index()
-        self.submit: Callable[..., None] = lambda *relays: None  # in one call
+        self._index_names()
+        self.submit: Callable[..., None] = lambda *relays: None  # all of them in one call
         self.cancel: Callable[[Relay], None] = lambda relay: None
         self.close_idle: Callable[[int], None] = lambda number: None
         self.notify: Callable[[Notice], None] = lambda notice: None
-        self.forward: Callable[[RelayEnded | Withdraw], None] = lambda item: None  # to who has it all now
+        self.forward: Callable[[RelayEnded | Withdraw], None] = (
+            lambda item: None
+        )  # to the process that has taken over
         self.list_index = config.known.index if config.known is not None else 0
-        self.retuned: Callable[[Config], None] = lambda config: None  # has the sockets' sides follow
-        self.shared: SharedState | None = None  # where budgets and judgements are shared
-        self._parts: BudgetParts | None = None  # of budgets, as last told
-        self.custody: Keeper | None = None  # where messages are copied to other senders
-        self.slow_starts: SlowStartFile | None = None  # where they outlast the process
+        self.retuned: Callable[[Config], None] = (
+            lambda config: None
+        )  # applies new settings to the other parts
+        self.shared: SharedState | None = None  # set if budgets or judgements are shared
+        self._budget_parts: BudgetParts | None = None  # parts of budgets last received
+        self.custody: Keeper | None = None  # set if messages are replicated
+        self.slow_starts: SlowStartFile | None = None  # set if slow starts outlast the process
         self.stopped_at: datetime | None = None
-        self._inbox: queue.SimpleQueue[Item] = queue.SimpleQueue()
+        self._inbox: queue.SimpleQueue[QueueItem] = queue.SimpleQueue()
         self._timers: list[tuple[datetime, int, int | Relay]] = []
-        self._order = itertools.count()
-        self._outstanding: dict[str, Owed] = {}
-        self._unanswered: dict[
+        self._timer_order = itertools.count()
+        self._outstanding: dict[str, Delivery] = {}
+        self._unanswered_notices: dict[
             str, tuple[AcceptedMessage, MessageEnded]
-        ] = {}  # messages whose notice is not answered yet
-        self._gates: dict[str, set[str]] = {}  # of a key, those of them: its next relay waits
-        self._gated: dict[str, list[Relay]] = {}
-        self._ended: dict[str, datetime] = {}  # ids that are over, until when they are remembered
+        ] = {}  # by id: messages whose notice is not answered yet
+        self._key_blockers: dict[str, set[str]] = {}  # by key: ids whose notice its next relay waits for
+        self._blocked_relays: dict[str, list[Relay]] = {}
+        self._ended_ids: dict[str, datetime] = {}  # by id: when a finished message is forgotten
         self._recovered: list[Entry] | None = []
-        self.lost_bodies: list[str] = []  # messages whose body the start did not find
-        self._listed = False
-        self._began = clock.now()
-        self._round_at = self._began  # when the last round began
-        self._took = ZERO  # by it
-        self._pause = threading.Event()  # never set: a wait of a moment
-        self._open = 0  # messages that are not over
-        self._leaving: list[Relay] = []  # begun in this round
-        self._unwritten: list[Record] = []  # records that the disk did not take
-        self._dropped: list[tuple[Owed, MessageEnded]] = []  # ended in this round for the sake of others
+        self.lost_bodies: list[str] = []  # ids of messages whose body was missing at the start
+        self._has_list = False
+        self._started_at = clock.now()
+        self._round_started_at = self._started_at  # start of the last round
+        self._round_duration = ZERO  # duration of the last round
+        self._never_set = threading.Event()  # never set; used for interruptible sleeps
+        self._outstanding_count = 0  # messages without a final outcome
+        self._new_relays: list[Relay] = []  # relays decided on in this round
+        self._unwritten_records: list[Record] = []  # records that the disk refused
+        self._ended_without_body: list[
+            tuple[Delivery, MessageEnded]
+        ] = []  # ended in this round for lack of a body
 
     def _settings_of(self, config: Config) -> api.Settings:
-        """Those of the module: whether others can be told is not the platform's to say where peers are."""
-        return replace(config.settings, may_tell=True) if self.tells else config.settings
+        """The decision module's settings. Where senders share judgements, it may always publish its own."""
+        return replace(config.settings, may_tell=True) if self.shares_judgements else config.settings
 
-    def _index(self) -> None:
+    def _index_names(self) -> None:
         self.classes = {c.name: n for n, c in enumerate(self.settings.classes)}
         self.tenants = {t.name: n for n, t in enumerate(self.settings.tenants)}
 
-    def post(self, item: Item) -> None:
-        """Put something in the owner's queue; any thread may."""
+    def post(self, item: QueueItem) -> None:
+        """Append an item to the queue. Thread-safe."""
         self._inbox.put(item)
 
     def notices_answered(self, refs: list[str]) -> None:
-        """These messages' notices were answered; any thread may say so."""
-        self.post(Noticed(refs))
+        """Report that the notices of these messages were answered. Thread-safe."""
+        self.post(NoticesAnswered(refs))
 
     def would_reject(self, message: AcceptedMessage) -> bool:
-        """Whether a hand-in would be turned away as things are, whatever its body; any thread may ask."""
+        """Whether a hand-in would be rejected at present, whatever its body. Thread-safe."""
         return (
             not self.lifecycle.current.listed
-            or self._open >= self.settings.holding_room
+            or self._outstanding_count >= self.settings.holding_room
             or not self.hosts.listed(message.destination)
         )
 
     def run(self) -> None:
-        """Recover what the journal has, then take rounds until the process ends or another takes over."""
+        """Restore the journal's messages, then run rounds until the process ends or another takes over."""
         if self._recovered is not None:
             self._recover()
         while True:
             items = self._next_items()
             self._round([item for item in items if not isinstance(item, HandOver)])
             for order in items:
-                if isinstance(order, HandOver) and self._stand_still(order):
-                    self._pass_on()
+                if isinstance(order, HandOver) and self._pause_for_handover(order):
+                    self._forward_items()
+
+    def _pause_for_handover(self, order: HandOver) -> bool:
+        """Hand out the whole state and change nothing until the take-over is decided.
 
-    def _stand_still(self, order: HandOver) -> bool:
-        """Hand out everything and change nothing until it is decided; whether it is another's now."""
+        Returns whether the other process has taken over.
+        """
         if self._recovered is not None or not order.pending.claim():
             order.pending.settle(None)
             return False
         self.journal.freeze()
         try:
-            state = self._state()
-        except Exception as fault:  # nothing is given away, and nothing has changed
-            self.log.say("error", f"the state could not be put together: {type(fault).__name__}: {fault}")
+            state = self._handover_state()
+        except Exception as fault:  # the hand-over is declined, and nothing has changed
+            self.log.say("error", f"cannot assemble the hand-over state: {type(fault).__name__}: {fault}")
             state = None
         order.pending.settle(state)
         if order.decided.get():
-            self.journal.give()
+            self.journal.hand_over()
             return True
         self.journal.thaw()
         return False
 
-    def _state(self) -> HandoverState:
-        gated = {relay for line in self._gated.values() for relay in line}
+    def _handover_state(self) -> HandoverState:
+        blocked = {relay for relays in self._blocked_relays.values() for relay in relays}
         return HandoverState(
             config=self.config,
             clock=self.clock.origin(),
             controller=self.controller,
             hosts=self.hosts.state(),
             live=self.journal.live,
-            ended=self._ended,
-            unwritten=self._unwritten,
-            timers=[(when, thing) for when, _, thing in self._timers if not isinstance(thing, Relay)],
+            ended=self._ended_ids,
+            unwritten=self._unwritten_records,
+            timers=[(when, target) for when, _, target in self._timers if not isinstance(target, Relay)],
             outstanding=[
                 OutstandingMessage(
-                    owed.message,
-                    owed.count,
-                    owed.over,
-                    owed.confirmed,
-                    owed.unwritten,
+                    delivery.message,
+                    delivery.relay_count,
+                    delivery.over,
+                    delivery.confirmed,
+                    delivery.unwritten,
                     [
-                        OutstandingCall(r.number, r.endpoint, r.host, r.begun_at, r.ends_at, r in gated)
-                        for r in owed.active_relays.values()
+                        OutstandingCall(r.number, r.endpoint, r.host, r.begun_at, r.ends_at, r in blocked)
+                        for r in delivery.active_relays.values()
                     ],
                 )
-                for owed in self._outstanding.values()
+                for delivery in self._outstanding.values()
             ],
-            unanswered=list(self._unanswered.values()),
+            unanswered=list(self._unanswered_notices.values()),
             discovery=self.config.discovery,
             list_index=self.list_index,
         )
 
-    def _pass_on(self) -> None:
-        """Another process decides: whatever still comes in is for it."""
+    def _forward_items(self) -> None:
+        """Pass everything that still comes in to the process that has taken over. Never returns."""
         while True:
             item = self._inbox.get()
             if isinstance(item, HandIn) and item.pending.claim():
@@ -260,7 +273,7 @@
             elif isinstance(item, RelayEnded | Withdraw):
                 self.forward(item)
             elif isinstance(item, RemoteEnded):
-                # Of the process before this one, which has calls out still and knows of no third.
+                # From the previous process, which still makes calls and does not know the next one.
                 for ended in self._remote_ended(item, self.clock.now()):
                     self._outstanding[ended.relay.message.ref].active_relays.pop(ended.relay.number, None)
                     self.forward(ended)
@@ -268,182 +281,204 @@
                 item.done.set()
 
     def remote_calls(self) -> int:
-        """Calls that the process before this one has out; any thread may ask."""
+        """How many calls the previous process is still making. Thread-safe."""
         return sum(
             relay.remote
-            for owed in list(self._outstanding.values())
-            for relay in list(owed.active_relays.values())
+            for delivery in list(self._outstanding.values())
+            for relay in list(delivery.active_relays.values())
         )
 
     def cancel_remote(self, ref: str, number: int) -> None:
-        """Have the process before this one stop waiting for a call, if it is one of its; any thread may."""
-        owed = self._outstanding.get(ref)
-        relay = owed.active_relays.get(number) if owed is not None else None
+        """Have the previous process cancel a call, if it is one of its own. Thread-safe."""
+        delivery = self._outstanding.get(ref)
+        relay = delivery.active_relays.get(number) if delivery is not None else None
         if relay is not None and relay.remote:
             self.cancel(relay)
 
     def adopt(self, state: HandoverState) -> None:
-        """Go on with what another process has handed over, as if it had been this one's all the time.
+        """Continue from the state that the previous process handed over.
 
         Called once, before `run` and before any client is served.
         """
-        self._recovered, self._listed = None, True
-        self.controller, self._ended, self._unwritten = state.controller, state.ended, state.unwritten
+        self._recovered, self._has_list = None, True
+        self.controller, self._ended_ids, self._unwritten_records = (
+            state.controller,
+            state.ended,
+            state.unwritten,
+        )
         self.hosts.adopt(state.hosts)
         self.list_index = state.list_index
         for when, label in state.timers:
-            heapq.heappush(self._timers, (when, next(self._order), label))
+            heapq.heappush(self._timers, (when, next(self._timer_order), label))
         for known in state.outstanding:
-            owed = self._outstanding[known.message.ref] = Owed(known.message, known.count, over=known.over)
-            owed.confirmed, owed.unwritten = known.confirmed, known.unwritten
-            self._open += not owed.over
-            for out in known.active_relays:
+            delivery = self._outstanding[known.message.ref] = Delivery(
+                known.message, known.count, over=known.over
+            )
+            delivery.confirmed, delivery.unwritten = known.confirmed, known.unwritten
+            self._outstanding_count += not delivery.over
+            for call in known.active_relays:
                 relay = Relay(
                     known.message,
-                    out.number,
-                    out.endpoint,
-                    out.host,
-                    out.begun_at,
-                    out.ends_at,
-                    remote=not out.gated,
+                    call.number,
+                    call.endpoint,
+                    call.host,
+                    call.begun_at,
+                    call.ends_at,
+                    remote=not call.gated,
                     repeatable=self._repeatable(known.message),
                 )
-                owed.active_relays[out.number] = relay
-                if out.gated:
-                    self._gate(relay)
-                else:  # should the other process say nothing: hung, or held up
-                    heapq.heappush(self._timers, (out.ends_at + REMOTE_GRACE, next(self._order), relay))
+                delivery.active_relays[call.number] = relay
+                if call.gated:
+                    self._block_relay(relay)
+                else:  # in case the previous process hangs and never reports its end
+                    heapq.heappush(
+                        self._timers, (call.ends_at + REMOTE_CALL_GRACE, next(self._timer_order), relay)
+                    )
         for message, ended in state.unanswered:
-            self._owe_notice(message, ended)
+            self._send_notice(message, ended)
         for ref in self.lost_bodies:
             self.post(BodyLost(ref))
         remote = sum(
-            relay.remote for owed in self._outstanding.values() for relay in owed.active_relays.values()
+            relay.remote
+            for delivery in self._outstanding.values()
+            for relay in delivery.active_relays.values()
         )
         self.log.say(
             "upgrade",
-            f"taken over: {self._open} messages owed, {remote} calls out in the process "
-            f"before, {len(self._unanswered)} notices unanswered",
+            f"taken over: {self._outstanding_count} messages owed, {remote} calls out in the process "
+            f"before, {len(self._unanswered_notices)} notices unanswered",
         )
         self._round([SettingsUpdate(self.config)] if state.config.settings != self.settings else [])
 
-    def _next_items(self) -> list[Item]:
-        """What has come in; waits for the first of it, or for the next timer."""
+    def _next_items(self) -> list[QueueItem]:
+        """The items of the next round. Blocks until there is one or a timer is due."""
         due = self._timers[0][0] if self._timers else None
-        news_due = self._began + FIRST_NEWS
-        if self._recovered is not None and self.clock.now() < news_due:
-            due = news_due if due is None else min(due, news_due)
-        if self._unwritten:
-            due = min(due or datetime.max.replace(tzinfo=UTC), self._round_at + WRITE_AGAIN)
+        list_due = self._started_at + FIRST_LIST_TIMEOUT
+        if self._recovered is not None and self.clock.now() < list_due:
+            due = list_due if due is None else min(due, list_due)
+        if self._unwritten_records:
+            due = min(due or datetime.max.replace(tzinfo=UTC), self._round_started_at + WRITE_RETRY_DELAY)
         try:
             left = None if due is None else max(0.0, seconds(due - self.clock.now()))
             items = [self._inbox.get(timeout=left)]
         except queue.Empty:
             items = []
-        # A round costs much the same for one event as for many: under load they share it, and the decisions
-        # leave most of the CPU to the sockets, or answers, ends and notices come late.
-        gap = max(self.config.period, min(GAP_MOST, ROUND_SHARE * self._took))
-        if (early := self._round_at + gap - self.clock.now()) > ZERO:
-            self._pause.wait(seconds(early))
-        while len(items) < BATCH_MOST and not self._inbox.empty():
+        # A round costs about the same for one event as for many. Under load events share a round, which
+        # leaves most of the CPU to the socket threads; otherwise answers, outcomes and notices come late.
+        gap = max(self.config.period, min(MAX_ROUND_GAP, ROUND_GAP_FACTOR * self._round_duration))
+        if (early := self._round_started_at + gap - self.clock.now()) > ZERO:
+            self._never_set.wait(seconds(early))
+        while len(items) < MAX_ITEMS_PER_ROUND and not self._inbox.empty():
             items.append(self._inbox.get())
         return items
 
     def _recover(self) -> None:
-        """Notices that are unanswered go out at once; owed messages wait a moment for the list."""
+        """Restore the state from the journal. Unanswered notices are sent at once; outstanding messages wait
+        briefly for the list of endpoints."""
         self._recovered, lost = [], set(self.lost_bodies)
         if self.slow_starts is not None:
-            known = self.slow_starts.read(self.hosts.number)
-            self.controller.handle(self.clock.module_s(self.clock.now()), [known])
+            slow_starts = self.slow_starts.read(self.hosts.number)
+            self.controller.handle(self.clock.module_s(self.clock.now()), [slow_starts])
         if self.shared is not None:
             self.shared.configure({t.name: t.quota_per_s for t in self.settings.tenants})
         for entry in list(self.journal.live.values()):
             if entry.message.custody is not None:
                 if self.custody is not None and self.custody.former(entry.message.custody):
-                    continue  # perhaps another's by now: it is claimed first
+                    continue  # another sender may own its book by now: claimed first
                 entry.message = msgspec.structs.replace(entry.message, custody=None)
-            if self._still_owed(entry, lost):
+            if self._can_continue(entry, lost):
                 self._recovered.append(entry)
-        owed, open_notices = len(self._recovered), len(self._unanswered)
-        self.log.say("recover", f"{owed} messages owed and {open_notices} notices unanswered from before")
+        outstanding, unanswered = len(self._recovered), len(self._unanswered_notices)
+        self.log.say(
+            "recover", f"{outstanding} messages owed and {unanswered} notices unanswered from before"
+        )
         if self.config.known is not None:
             self._round([self.config.known])
 
-    def _still_owed(self, entry: Entry, lost: Collection[str] = ()) -> bool:
-        """Whether a recovered message can go on; else its end is written, and its notice owed."""
+    def _can_continue(self, entry: Entry, lost: Collection[str] = ()) -> bool:
+        """Whether delivery of a recovered message can continue. If not, its outcome is recorded and its
+        notice is sent."""
         ref = entry.message.ref
         if entry.ended is not None:
-            self._owe_notice(entry.message, entry.ended)
+            self._send_notice(entry.message, entry.ended)
             return False
         if entry.message.rules is None and entry.message.message_class not in self.classes:
-            self.log.say("recover", f"{ref} given up: class no longer configured")
+            self.log.say("recover", f"{ref} given up: its class is no longer configured")
             ended = MessageEnded(ref, "given_up")
         elif entry.message.unkept or ref in lost:
-            # Its end is still owed, but what to deliver is lost.
+            # There is nothing left to deliver, but the platform still has to learn the outcome.
             ran = any(entry.may_have_run(n) for n in range(entry.count()))
-            ended = self._body_ended(entry.message, ran)
-            why = "was never kept" if entry.message.unkept else "is missing or cut off"
-            self.log.say("recover", f"{ref} {ended.outcome}: its body {why}")
+            ended = self._end_record(entry.message, ran)
+            reason = "was held in memory only" if entry.message.unkept else "is missing or truncated"
+            self.log.say("recover", f"{ref} {ended.outcome}: its body {reason}")
         else:
             return True
         self._write([ended])
-        self._owe_notice(entry.message, ended)
+        self._send_notice(entry.message, ended)
         return False
 
-    def _round(self, items: list[Item]) -> None:
-        """Events in, one decision, the journal, then the actions: nothing is told before it is written."""
-        now = self._round_at = self.clock.now()
+    def _round(self, items: list[QueueItem]) -> None:
+        """One round: collect events, decide once, write the journal, then act.
+
+        Nothing leaves the process before its record is written.
+        """
+        now = self._round_started_at = self.clock.now()
         events: list[api.Event] = []
         records: list[Record] = []
-        fresh: list[Owed] = []
-        if self._parts is not None and time.monotonic() > self._parts.until:
-            self._unheard(events)
+        new_deliveries: list[Delivery] = []
+        if self._budget_parts is not None and time.monotonic() > self._budget_parts.until:
+            self._expire_budget_parts(events)
         for item in items:
-            self._take(item, now, events, records, fresh)
-        waited = now - self._began >= FIRST_NEWS
-        if self._recovered is not None and (waited or (self._listed and self._heard_news(items))):
-            # Also without any list: their time runs on, and their ends are owed.
+            self._process_item(item, now, events, records, new_deliveries)
+        waited = now - self._started_at >= FIRST_LIST_TIMEOUT
+        if self._recovered is not None and (waited or (self._has_list and self._heard_from_watch(items))):
+            # Also without any list: deadlines pass meanwhile, and every message needs an outcome.
             for entry in soonest_first(self._recovered):
-                events.append(self._recall(entry, now))
+                events.append(self._restore(entry, now))
             self._recovered = None
-        if self._recovered is None and self._listed and not self.lifecycle.current.listed:
+        if self._recovered is None and self._has_list and not self.lifecycle.current.listed:
             self.lifecycle.tell(Event.LISTED, now)
-        self._ring(now, events)
+        self._fire_timers(now, events)
         actions = self.controller.handle(self.clock.module_s(now), events) if events else []
-        ends = self._endings(actions, records, fresh)
+        ends = self._final_outcomes(actions, records, new_deliveries)
         self._write(records)
-        self._settle(fresh, ends)
-        for owed, ended in self._dropped:
-            self._owe_notice(owed.message, ended)
-        self._dropped.clear()
+        self._answer_clients(new_deliveries, ends)
+        for delivery, ended in self._ended_without_body:
+            self._send_notice(delivery.message, ended)
+        self._ended_without_body.clear()
         for item in items:
             if isinstance(item, MakeRoom):
                 item.pending.settle(True)
         for ref, ended in ends.items():
-            owed = self._outstanding[ref]
-            if owed.copying:  # nothing was promised yet
-                self._answer_end(owed, ended)
-            elif owed.pending is None:
-                self._owe_notice(owed.message, ended)
-            self._forget(owed, now, remember=ended.outcome == "given_up" and owed.pending is None)
+            delivery = self._outstanding[ref]
+            if delivery.replicating:  # its client has not been answered yet
+                self._answer_with_end(delivery, ended)
+            elif delivery.pending is None:
+                self._send_notice(delivery.message, ended)
+            self._forget(delivery, now, remember=ended.outcome == "given_up" and delivery.pending is None)
         for action in actions:
-            self._act(action, now)
-        for relays in self._calls():
+            self._carry_out(action, now)
+        for relays in self._group_into_calls():
             self.submit(*relays)
         if self.slow_starts is not None and self.slow_starts.due(now):
             self.slow_starts.write(self.controller.slow_starts(), self.hosts.name, now)
-        self._took = self.clock.now() - now
+        self._round_duration = self.clock.now() - now
 
-    def _heard_news(self, items: list[Item]) -> bool:
-        """Whether the watch itself has spoken; the configured list is not its word."""
+    def _heard_from_watch(self, items: list[QueueItem]) -> bool:
+        """Whether the watch has delivered a list; the one from the configuration does not count."""
         return any(isinstance(item, ListUpdate) and item is not self.config.known for item in items)
 
-    def _take(
-        self, item: Item, now: datetime, events: list[api.Event], records: list[Record], fresh: list[Owed]
+    def _process_item(
+        self,
+        item: QueueItem,
+        now: datetime,
+        events: list[api.Event],
+        records: list[Record],
+        new_deliveries: list[Delivery],
     ) -> None:
-        """One item of the queue, as an event for the module where it is one."""
+        """Process one item of the queue; what concerns the decision module is added to `events`."""
         if isinstance(item, HandIn):
-            self._hand_in(item, now, events, records, fresh)
+            self._hand_in(item, now, events, records, new_deliveries)
         elif isinstance(item, RelayEnded):
             self._relay_ended(item, now, events, records)
         elif isinstance(item, RemoteEnded):
@@ -452,17 +487,17 @@
         elif isinstance(item, Flush):
             item.done.set()
         elif isinstance(item, ListUpdate):
-            news, left = self.hosts.read(item)
+            endpoint_list, unusable = self.hosts.read(item)
             self.list_index = item.index
-            self._listed = self._listed or bool(news.entries)
-            events.append(news)
-            for number in left:
+            self._has_list = self._has_list or bool(endpoint_list.entries)
+            events.append(endpoint_list)
+            for number in unusable:
                 self.close_idle(number)
-            if len(self.bodies.forecasts) > 2 * len(self.hosts.by_number) + OUTLOOKS_SPARE:
+            if len(self.bodies.forecasts) > 2 * len(self.hosts.by_number) + SPARE_FORECASTS:
                 self.bodies.forget_destinations({host.destination for host in self.hosts.by_number.values()})
-        elif isinstance(item, Noticed):
+        elif isinstance(item, NoticesAnswered):
             for ref in item.refs:
-                self._noticed(ref, records)
+                self._notice_answered(ref, records)
         elif isinstance(item, MakeRoom):
             self._make_room(item, now, events)
         elif isinstance(item, TenantParts):
@@ -472,42 +507,54 @@
                 if name in self.tenants
             ]
         elif isinstance(item, SharedStateUpdate):
-            self._hear(item.found, now, events)
-        elif isinstance(item, Copied):
-            self._copied(item, now, events, records)
-        elif isinstance(item, MayTell):
-            if item.ref in self._unanswered:
-                _, ended = self._unanswered[item.ref]
+            self._apply_shared_state(item.found, now, events)
+        elif isinstance(item, ReplicationEnded):
+            self._replication_ended(item, now, events, records)
+        elif isinstance(item, NoticeReplicated):
+            if item.ref in self._unanswered_notices:
+                _, ended = self._unanswered_notices[item.ref]
                 self.notify(Notice(item.ref, ended.outcome, ended.retry_in_ms))
         elif isinstance(item, BookAcquired):
             self._take_over(item.won, now, events)
         elif isinstance(item, BookLost):
             self._lose_book(item.lost, now, events)
         elif isinstance(item, BookExpired):
-            self._expire(item.expired, now)
+            self._expire_book(item.expired, now)
         elif isinstance(item, SettingsUpdate):
-            self._retune(item.config, events)
+            self._apply_settings(item.config, events)
         elif isinstance(item, BodyLost):
-            owed = self._outstanding.get(item.ref)
-            idle = owed is not None and not owed.over and not owed.active_relays and not owed.copying
-            if idle:  # else its next relay finds it so
-                self._end_without_body(owed, "is missing or damaged", now, events)
+            delivery = self._outstanding.get(item.ref)
+            idle = (
+                delivery is not None
+                and not delivery.over
+                and not delivery.active_relays
+                and not delivery.replicating
+            )
+            if idle:  # otherwise the relay itself finds that the body is missing
+                self._end_without_body(delivery, "is missing or damaged", now, events)
         elif isinstance(item, Withdraw):
-            owed = self._outstanding.get(item.ref)
-            # Only who handed it in may: the id alone is known to anybody.
-            if owed is not None and owed.by is item.pending and not owed.over and not owed.confirmed:
+            delivery = self._outstanding.get(item.ref)
+            # Only the hand-in that started it may withdraw it; the id alone proves nothing.
+            if (
+                delivery is not None
+                and delivery.accepted_by is item.pending
+                and not delivery.over
+                and not delivery.confirmed
+            ):
                 records.append(MessageEnded(item.ref, "withdrawn"))
                 events.append(api.Withdrawn(item.ref))
-                self._forget(owed, now)
+                self._forget(delivery, now)
         else:
             self.stopped_at = now
-            self.log.say("stop", "SIGTERM: taking and delivering on until killed")
+            self.log.say("stop", "SIGTERM: accepting and delivering messages until killed")
             events.append(api.Stopping(seconds(KILL_AFTER)))
 
-    def _hear(self, found: BudgetParts | EndpointFindings, now: datetime, events: list[api.Event]) -> None:
-        """What other senders share, as events for the module."""
+    def _apply_shared_state(
+        self, found: BudgetParts | EndpointFindings, now: datetime, events: list[api.Event]
+    ) -> None:
+        """Turn state shared by other senders into events for the decision module."""
         if hasattr(found, "parts"):
-            self._parts = found
+            self._budget_parts = found
             events += [
                 api.TenantPart(self.tenants[name], part, name in found.hard)
                 for name, part in found.parts.items()
@@ -524,20 +571,20 @@
             if (number := self.hosts.number_listed(name)) is not None
         ]
 
-    def _unheard(self, events: list[api.Event]) -> None:
-        """Nothing was heard of budgets for too long: only what is never lent may be spent."""
-        told, self._parts = self._parts, None
+    def _expire_budget_parts(self, events: list[api.Event]) -> None:
+        """Fall back to the parts of budgets that are never lent, since the received ones have expired."""
+        last, self._budget_parts = self._budget_parts, None
         events += [
-            api.TenantPart(self.tenants[name], min(part, told.floor), name in told.hard)
-            for name, part in told.parts.items()
+            api.TenantPart(self.tenants[name], min(part, last.floor), name in last.hard)
+            for name, part in last.parts.items()
             if name in self.tenants
         ]
-        self.log.say("shared", "parts of budgets are not told any more: only what is never lent is spent")
+        self.log.say("shared", "parts of budgets are no longer received: only what is never lent is spent")
 
-    def _retune(self, config: Config, events: list[api.Event]) -> None:
-        """Other settings hold from this round on. Messages in hand keep the rules they were taken under."""
+    def _apply_settings(self, config: Config, events: list[api.Event]) -> None:
+        """Apply new settings from this round on. Outstanding messages keep the rules of their acceptance."""
         self.config, self.settings = config, self._settings_of(config)
-        self._index()
+        self._index_names()
         self.retuned(config)
         if self.shared is not None:
             self.shared.configure({t.name: t.quota_per_s for t in self.settings.tenants})
@@ -546,20 +593,25 @@
             "retune",
             f"new settings hold: classes {', '.join(self.classes)}, "
             f"{self.settings.max_attempts} attempts, {self.settings.slots} slots, room for "
-            f"{self.settings.holding_room}; {self._open} messages in hand keep the rules they have",
+            f"{self.settings.holding_room}; {self._outstanding_count} outstanding messages keep their rules",
         )
 
-    def _class(self, message: AcceptedMessage) -> api.MessageClass:
-        """The rules that a message was taken under."""
+    def _class_of_message(self, message: AcceptedMessage) -> api.MessageClass:
+        """The class of a message, with the rules that it was accepted under."""
         if message.rules is not None:
             return class_of(message.message_class, message.rules)
         return self.settings.classes[self.classes[message.message_class]]
 
     def _repeatable(self, message: AcceptedMessage) -> bool:
-        return self._class(message).idempotency is not api.Idempotency.UNSAFE
+        return self._class_of_message(message).idempotency is not api.Idempotency.UNSAFE
 
     def _hand_in(
-        self, item: HandIn, now: datetime, events: list[api.Event], records: list[Record], fresh: list[Owed]
+        self,
+        item: HandIn,
+        now: datetime,
+        events: list[api.Event],
+        records: list[Record],
+        new_deliveries: list[Delivery],
     ) -> None:
         message = item.message
         if not item.pending.claim():
@@ -567,117 +619,131 @@
             return
         if self.shared is not None:
             self.shared.record_demand(message.tenant)
-        known = self._outstanding.get(message.ref)
-        if known is not None and not known.over:
-            self._hand_in_again(item, known)
+        existing = self._outstanding.get(message.ref)
+        if existing is not None and not existing.over:
+            self._hand_in_repeat(item, existing)
             self.bodies.discard(message)
             return
-        found = next((e.message for e in self._recovered or () if e.message.ref == message.ref), None)
-        if found is not None and same_message(message, found):  # turned away, it would come under another id
+        recovered = next((e.message for e in self._recovered or () if e.message.ref == message.ref), None)
+        if recovered is not None and same_message(message, recovered):
+            # Its client has no answer yet; if rejected, it would hand the message in under another id.
             self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.ACCEPTED))
             return
-        if self._ended.get(message.ref, now) > now:
+        if self._ended_ids.get(message.ref, now) > now:
             self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.ACCEPTED))
             return
-        mark = self.custody.mark(message.message_class) if self.custody is not None else None
-        # What was handed back may come again under its id, but not while a relay or its notice is still out.
-        lasting = known is not None or message.ref in self._unanswered
-        faults = [
-            (not self.lifecycle.current.listed, "early", "not ready yet"),
-            (not self.hosts.listed(message.destination), "unlisted", "it has no host"),
-            (lasting, "full", "its id is not free yet"),
-            (self._open >= self.settings.holding_room, "full", "the holding room is used up"),
-            (mark is False, "custody", "too few copies of it can be had"),
+        custody = self.custody.mark(message.message_class) if self.custody is not None else None
+        # A message that was handed back may be handed in again under its id, but not while one of its relays
+        # is in progress or its notice is unanswered.
+        id_in_use = existing is not None or message.ref in self._unanswered_notices
+        checks = [
+            (not self.lifecycle.current.listed, "early", "the sender is not ready yet"),
+            (not self.hosts.listed(message.destination), "unlisted", "no endpoint of it is listed"),
+            (id_in_use, "full", "its id is still in use"),
+            (self._outstanding_count >= self.settings.holding_room, "full", "too many messages outstanding"),
+            (custody is False, "custody", "too few other senders can hold a copy"),
         ]
-        if lasting and self._may_have_run(message):  # 503 would invite a second run under another id
+        if id_in_use and self._may_have_run(message):  # 503 would invite a second execution under another id
             self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.FAILED))
-            self.log.say("conflict", f"{message.ref} was handed in before and may have run: failed")
+            self.log.say("conflict", f"{message.ref} was handed in before and may have been executed: failed")
             return
-        refusal = next(((sort, why) for wrong, sort, why in faults if wrong), None)
-        if refusal is None and not self._record_fits(message, fresh, now, events):
-            refusal = "full", "the disk is used up"
-        if refusal is not None:
-            sort, why = refusal
+        rejection = next(((event, reason) for failed, event, reason in checks if failed), None)
+        if rejection is None and not self._record_fits(message, new_deliveries, now, events):
+            rejection = "full", "the disk space for the journal is used up"
+        if rejection is not None:
+            event, reason = rejection
             self.bodies.discard(message)
-            item.pending.settle(Answer(Verdict.REJECTED, BACK_OFF, sort))
-            text = f"back-off answer to {message.ref} for destination {message.destination}"
-            self.log.say(sort, f"{text}: {why}, {self._open} of {self.settings.holding_room} held")
+            item.pending.settle(Answer(Verdict.REJECTED, DEFAULT_RETRY_AFTER, event))
+            text = f"{message.ref} for destination {message.destination} rejected: {reason}"
+            self.log.say(
+                event, f"{text}; {self._outstanding_count} of {self.settings.holding_room} outstanding"
+            )
             return
-        if mark:
-            message = msgspec.structs.replace(message, custody=mark)
-        owed = self._outstanding[message.ref] = Owed(message, pending=item.pending, by=item.pending)
-        self._open += 1
-        fresh.append(owed)
+        if custody:
+            message = msgspec.structs.replace(message, custody=custody)
+        delivery = self._outstanding[message.ref] = Delivery(
+            message, pending=item.pending, accepted_by=item.pending
+        )
+        self._outstanding_count += 1
+        new_deliveries.append(delivery)
         records.append(message)
-        events.append(self._message(message, now))
+        events.append(self._message_event(message, now))
 
     def _may_have_run(self, message: AcceptedMessage) -> bool:
-        """Whether an id that is over, and not forgotten yet, is one that may not run again and may have."""
+        """Whether a finished message, still remembered, may have been executed and must not be repeated."""
         if self._repeatable(message):
             return False
-        known, ended = self._outstanding.get(message.ref), self._unanswered.get(message.ref, (None, None))[1]
-        return (known is not None and bool(known.active_relays)) or (
+        existing, ended = (
+            self._outstanding.get(message.ref),
+            self._unanswered_notices.get(message.ref, (None, None))[1],
+        )
+        return (existing is not None and bool(existing.active_relays)) or (
             ended is not None and ended.outcome == "given_up"
         )
 
     def _record_fits(
-        self, message: AcceptedMessage, fresh: list[Owed], now: datetime, events: list[api.Event]
+        self, message: AcceptedMessage, new_deliveries: list[Delivery], now: datetime, events: list[api.Event]
     ) -> bool:
-        """Whether a message's record has room, if need be at the cost of what may be dropped."""
-        wanted = [*(owed.message for owed in fresh), message]
+        """Whether a message's record fits into the journal, if necessary after dropping other messages."""
+        wanted = [*(delivery.message for delivery in new_deliveries), message]
         if self.journal.fits(wanted):
             return True
-        candidates = [c for c in self._candidates() if self._outstanding[c.ref].message.body]
-        need = kept_records.bytes_to_reserve(message)
+        candidates = [c for c in self._drop_candidates() if self._outstanding[c.ref].message.body]
+        need = journal_records.bytes_to_reserve(message)
         for candidate in self.bodies.victims(message.message_class, need, candidates, inline=True):
-            self._drop(candidate, message, now, events)
+            self._drop_message(candidate, message, now, events)
         return self.journal.fits(wanted)
 
-    def _candidates(self) -> list[Candidate]:
-        """Owed messages that may have to make room: answered, with no relay out, of a class that is
-        dropped."""
+    def _drop_candidates(self) -> list[Candidate]:
+        """Messages that may be dropped to free space: of a class that allows it, with their client answered
+        and no relay in progress."""
         plans, found, expected_wait_s = self.bodies.plans, [], {}
-        for owed in islice(self._outstanding.values(), LOOKED_AT):
-            message = owed.message
+        for delivery in islice(self._outstanding.values(), MAX_MESSAGES_SCANNED):
+            message = delivery.message
             plan = plans.get(message.message_class)
             if (
                 plan is None
                 or not plan.body_settings.drop
-                or owed.over
-                or owed.active_relays
-                or owed.pending is not None
+                or delivery.over
+                or delivery.active_relays
+                or delivery.pending is not None
             ):
                 continue
-            dest = message.destination
-            if dest not in expected_wait_s:
-                expected_wait_s[dest] = self.bodies.expected_wait_s(dest)
+            destination = message.destination
+            if destination not in expected_wait_s:
+                expected_wait_s[destination] = self.bodies.expected_wait_s(destination)
             found.append(
                 Candidate(
-                    message.ref, message.message_class, dest, message.body_size(), expected_wait_s[dest]
+                    message.ref,
+                    message.message_class,
+                    destination,
+                    message.body_size(),
+                    expected_wait_s[destination],
                 )
             )
         return found
 
     def _make_room(self, item: MakeRoom, now: datetime, events: list[api.Event]) -> None:
-        """End what may be dropped, so that a body worth more finds room."""
+        """End messages that may be dropped, so that a more valuable body can be stored."""
         if not item.pending.claim():
             return
         admission, message = item.admission, item.message
         chosen = self.bodies.victims(
             message.message_class,
             admission.bytes_needed,
-            [c for c in self._candidates() if self._outstanding[c.ref].message.place],
+            [c for c in self._drop_candidates() if self._outstanding[c.ref].message.place],
             admission.destination,
         )
         for candidate in chosen:
-            self._drop(candidate, message, now, events)
+            self._drop_message(candidate, message, now, events)
 
-    def _drop(
+    def _drop_message(
         self, candidate: Candidate, message: AcceptedMessage, now: datetime, events: list[api.Event]
     ) -> None:
+        """End a message to free the space of its body for `message`."""
         self._end_without_body(
             self._outstanding[candidate.ref],
             f"of {candidate.size} bytes makes room for {message.message_class} " f"{message.ref}",
@@ -686,45 +752,53 @@
         )
 
     def _end_without_body(
-        self, owed: Owed, why: str, now: datetime, events: list[api.Event], last: RelayEnded | None = None
+        self,
+        delivery: Delivery,
+        reason: str,
+        now: datetime,
+        events: list[api.Event],
+        last: RelayEnded | None = None,
     ) -> None:
-        """A message that has no body any more ends here: at once, by a notice, and never as a guess.
+        """End a message whose body is gone, at once and with a notice.
 
-        Its record is written by itself: what is taken on in this round may need the room.
+        Its record is written right away, since messages accepted in this round may need the space. `last` is
+        the relay's end that brought this about, if any: that relay is judged by its outcome, not by its
+        journal record, which does not say yet how it ended.
         """
-        ref, entry = owed.message.ref, self.journal.live.get(owed.message.ref)
+        ref, entry = delivery.message.ref, self.journal.live.get(delivery.message.ref)
         number = last.relay.number if last is not None else -1
         ran = (
-            bool(owed.active_relays)
+            bool(delivery.active_relays)
             or entry is None
             or any(entry.may_have_run(n) for n in range(entry.count()) if n != number)
         )
         ran = ran or (last is not None and RAN_BY_OUTCOME[last.outcome] is not Ran.NEVER)
-        ended = self._body_ended(owed.message, ran)
-        self.log.say("dropped", f"{ref} {ended.outcome}: its body {why}")
+        ended = self._end_record(delivery.message, ran)
+        self.log.say("dropped", f"{ref} {ended.outcome}: its body {reason}")
         self._write([ended])
         events.append(api.Withdrawn(ref))
-        self._dropped.append((owed, ended))
-        self._forget(owed, now, remember=ended.outcome == "given_up")
-
-    def _body_ended(self, message: AcceptedMessage, ran: bool) -> MessageEnded:
-        outcome = outcome_without_body(self._class(message).idempotency, ran)
-        most = span(self.settings.max_retry_after_s)
-        retry = millis(min(most, self.bodies.settings.come_back)) if outcome == "handed_back" else 0
+        self._ended_without_body.append((delivery, ended))
+        self._forget(delivery, now, remember=ended.outcome == "given_up")
+
+    def _end_record(self, message: AcceptedMessage, ran: bool) -> MessageEnded:
+        """The final outcome of a message without a body. `ran`: it may have been executed."""
+        outcome = outcome_without_body(self._class_of_message(message).idempotency, ran)
+        limit = span(self.settings.max_retry_after_s)
+        retry = millis(min(limit, self.bodies.settings.come_back)) if outcome == "handed_back" else 0
         return MessageEnded(message.ref, outcome, retry or None)
 
-    def _hand_in_again(self, item: HandIn, known: Owed) -> None:
-        """An id that is open: the same message, its connection closed under it, or a stranger's."""
-        if not same_message(item.message, known.message):
-            self.log.say("conflict", f"{item.message.ref} is open with another content, answered 409")
+    def _hand_in_repeat(self, item: HandIn, existing: Delivery) -> None:
+        """Answer a hand-in of an id that is outstanding: a repeat of the same message, or a conflict."""
+        if not same_message(item.message, existing.message):
+            self.log.say("conflict", f"{item.message.ref} is outstanding with other content: answered 409")
             item.pending.settle(Answer(Verdict.CONFLICT))
-        elif known.pending is not None:  # not decided yet: to be told what the first is told would be a guess
-            item.pending.settle(Answer(Verdict.REJECTED, BACK_OFF, "its id is being decided"))
+        elif existing.pending is not None:  # not decided yet, so the answer to the first hand-in is unknown
+            item.pending.settle(Answer(Verdict.REJECTED, DEFAULT_RETRY_AFTER, "its id is being decided"))
         else:
-            known.confirmed = True
+            existing.confirmed = True
             item.pending.settle(Answer(Verdict.ACCEPTED))
 
-    def _message(
+    def _message_event(
         self, message: AcceptedMessage, now: datetime, past: tuple[api.PastAttempt, ...] = ()
     ) -> api.Message:
         return api.Message(
@@ -736,33 +810,42 @@
             message.key,
             is_retry=message.is_retry or bool(past),
             past=past,
-            rules=self._class(message),
+            rules=self._class_of_message(message),
         )
 
-    def _recall(self, entry: Entry, now: datetime) -> api.Message:
-        """A recovered message. What was out at the end may have run; what left no trace never began."""
+    def _restore(self, entry: Entry, now: datetime) -> api.Message:
+        """The event for a recovered message, with its past attempts.
+
+        A relay that was in progress when the process ended may have been executed; one without a record was
+        never started.
+        """
         past = []
         for number in range(entry.count()):
-            opened = entry.started.get(number)
-            ago = seconds(now - opened.at) if opened else 0.0
-            host = self.hosts.number(opened.host) if opened else 0
-            past.append(api.PastAttempt(host, ago, entry.may_have_run(number)))
-        self._outstanding[entry.message.ref] = Owed(entry.message, count=len(past))
-        self._open += 1
-        return self._message(entry.message, now, tuple(past))
+            started = entry.started.get(number)
+            ago_s = seconds(now - started.at) if started else 0.0
+            host = self.hosts.number(started.host) if started else 0
+            past.append(api.PastAttempt(host, ago_s, entry.may_have_run(number)))
+        self._outstanding[entry.message.ref] = Delivery(entry.message, relay_count=len(past))
+        self._outstanding_count += 1
+        return self._message_event(entry.message, now, tuple(past))
 
     def _remote_ended(self, item: RemoteEnded, now: datetime) -> list[RelayEnded]:
-        """What the process before this one tells of its calls. Untold at its end, they may have run."""
+        """The ends of calls that the previous process reports.
+
+        Calls that it never reported before it exited may have been executed.
+        """
         if item.gone:
             left = [
                 relay
-                for owed in self._outstanding.values()
-                for relay in owed.active_relays.values()
+                for delivery in self._outstanding.values()
+                for relay in delivery.active_relays.values()
                 if relay.remote
             ]
             if left:
                 self.log.say(
-                    "upgrade", f"the process before is gone with {len(left)} calls out: they may " "have run"
+                    "upgrade",
+                    f"the previous process exited with {len(left)} calls in progress: they may "
+                    "have been executed",
                 )
             return [RelayEnded(relay, api.Outcome.BROKEN, now - relay.begun_at) for relay in left]
         relay = (
@@ -779,25 +862,25 @@
         self, ended: RelayEnded, now: datetime, events: list[api.Event], records: list[Record]
     ) -> None:
         relay, ref = ended.relay, ended.relay.message.ref
-        owed = self._outstanding.get(ref)
-        if owed is None or owed.active_relays.pop(relay.number, None) is None:
+        delivery = self._outstanding.get(ref)
+        if delivery is None or delivery.active_relays.pop(relay.number, None) is None:
             return
-        if not owed.over:
+        if not delivery.over:
             if ended.over:
                 delivered = ended.outcome is api.Outcome.DELIVERED
                 records.append(MessageEnded(ref, "delivered" if delivered else "withdrawn"))
             else:
                 records.append(RelayFailed(ref, relay.number, RAN_BY_OUTCOME[ended.outcome] is not Ran.NEVER))
-        self.bodies.observe(owed.message.destination, ended.outcome, ended.wait)
+        self.bodies.observe(delivery.message.destination, ended.outcome, ended.wait)
         if self.shared is not None and ended.limit_per_s and relay.host is not None:
             self.shared.limit(time.monotonic(), relay.host.name, ended.limit_per_s)
-        if not owed.over and not ended.over and not owed.active_relays:
-            # Before the outcome: told of it alone, the module could want the next relay.
+        if not delivery.over and not ended.over and not delivery.active_relays:
+            # Before the event of the relay's end, on which alone the module could ask for another relay.
             if ended.lost:
-                self._end_without_body(owed, "is missing or damaged", now, events, ended)
-            elif owed.message.unkept and relay.started:
-                self._end_without_body(owed, "was kept for one relay only", now, events, ended)
-        final = owed.over or ended.over
+                self._end_without_body(delivery, "is missing or damaged", now, events, ended)
+            elif delivery.message.unkept and relay.started:
+                self._end_without_body(delivery, "was held in memory for one relay only", now, events, ended)
+        final = delivery.over or ended.over
         events.append(
             api.AttemptEnded(
                 ref,
@@ -814,37 +897,40 @@
             )
         )
         if final:
-            self._forget(owed, now, remember=ended.outcome is api.Outcome.DELIVERED)
+            self._forget(delivery, now, remember=ended.outcome is api.Outcome.DELIVERED)
 
-    def _ring(self, now: datetime, events: list[api.Event]) -> None:
-        """Timers that are due: the module's, and those of relays still behind a gate."""
+    def _fire_timers(self, now: datetime, events: list[api.Event]) -> None:
+        """Process due timers: those of the decision module, of blocked relays and of remote calls."""
         while self._timers and self._timers[0][0] <= now:
-            thing = heapq.heappop(self._timers)[2]
-            if isinstance(thing, Relay) and thing.remote:
-                self._give_up_remote(thing, now)
-            elif isinstance(thing, Relay):
-                waiting = self._gated.get(thing.message.key or "", [])
-                if thing in waiting:
-                    waiting.remove(thing)
-                    self.post(RelayEnded(thing, api.Outcome.NOT_SENT, now - thing.begun_at))
+            target = heapq.heappop(self._timers)[2]
+            if isinstance(target, Relay) and target.remote:
+                self._give_up_remote(target, now)
+            elif isinstance(target, Relay):
+                waiting = self._blocked_relays.get(target.message.key or "", [])
+                if target in waiting:
+                    waiting.remove(target)
+                    self.post(RelayEnded(target, api.Outcome.NOT_SENT, now - target.begun_at))
             else:
-                events.append(api.Timer(thing))
+                events.append(api.Timer(target))
 
     def _give_up_remote(self, relay: Relay, now: datetime) -> None:
-        """Wait no longer for the process before to tell a call's end: it holds a slot and its key."""
-        owed = self._outstanding.get(relay.message.ref)
-        if owed is not None and owed.active_relays.get(relay.number) is relay:
+        """Stop waiting for the previous process to report a call's end, which blocks a slot and its key."""
+        delivery = self._outstanding.get(relay.message.ref)
+        if delivery is not None and delivery.active_relays.get(relay.number) is relay:
             self.log.say(
                 "upgrade",
-                f"the process before has not told the end of attempt {relay.number} of "
-                f"{relay.message.ref}: it may have run",
+                f"the previous process has not told the end of attempt {relay.number} of "
+                f"{relay.message.ref}: it may have been executed",
             )
             self.post(RelayEnded(relay, api.Outcome.TIMED_OUT, now - relay.begun_at))
 
-    def _endings(
-        self, actions: list[api.Action], records: list[Record], fresh: list[Owed]
+    def _final_outcomes(
+        self, actions: list[api.Action], records: list[Record], new_deliveries: list[Delivery]
     ) -> dict[str, MessageEnded]:
-        """The module's final answers. One given in the hand-in's own round needs no record and no notice."""
+        """The final outcomes among the actions, by id; their records are added to `records`.
+
+        A message rejected in the round of its own hand-in needs neither a record nor a notice.
+        """
         ends = {}
         for action in actions:
             if isinstance(action, api.Refuse):
@@ -852,116 +938,128 @@
                 ends[action.ref] = MessageEnded(action.ref, "handed_back", retry)
             elif isinstance(action, api.Fail):
                 ends[action.ref] = MessageEnded(action.ref, "given_up")
-        refused = {owed.message.ref for owed in fresh if owed.message.ref in ends}
-        for owed in fresh:
-            if owed.message.ref in refused:
-                self.bodies.discard(owed.message)
-        records[:] = [r for r in records if not (isinstance(r, AcceptedMessage) and r.ref in refused)]
+        rejected = {delivery.message.ref for delivery in new_deliveries if delivery.message.ref in ends}
+        for delivery in new_deliveries:
+            if delivery.message.ref in rejected:
+                self.bodies.discard(delivery.message)
+        records[:] = [r for r in records if not (isinstance(r, AcceptedMessage) and r.ref in rejected)]
         records += [
-            MessageEnded(ref, "withdrawn") if self._outstanding[ref].copying else ended
+            MessageEnded(ref, "withdrawn") if self._outstanding[ref].replicating else ended
             for ref, ended in ends.items()
-            if ref not in refused
+            if ref not in rejected
         ]
         return ends
 
     def _write(self, records: list[Record]) -> None:
-        records, self._unwritten = [*self._unwritten, *records], []
+        """Append records to the journal, after those that it refused before. On failure, reject the messages
+        that would have been accepted."""
+        records, self._unwritten_records = [*self._unwritten_records, *records], []
         if not records:
             return
         try:
             self.journal.append(records)
         except (OSError, JournalFullError) as fault:
-            # Nothing new may be promised on a record that is not there; endings are still told.
+            # Nothing may be accepted without a record. Final outcomes are still reported.
             unwritten = {r.ref for r in records if isinstance(r, AcceptedMessage)}
-            # A record that is perhaps in the file is the next process's message: no 503 may be told for it.
-            unsure = isinstance(fault, JournalUnsureError)
-            answer = Answer(Verdict.FAILED) if unsure else Answer(Verdict.REJECTED, BACK_OFF, "not written")
+            # If a record may be in the file, the next process will deliver the message: 503 would be wrong.
+            uncertain = isinstance(fault, JournalUncertainError)
+            answer = (
+                Answer(Verdict.FAILED)
+                if uncertain
+                else Answer(Verdict.REJECTED, DEFAULT_RETRY_AFTER, "not written")
+            )
             self.log.say(
                 "journal",
                 f"{len(records)} records could not be written: {fault}; "
-                f"{'failed' if unsure else 'turned away'}: {', '.join(sorted(unwritten)) or 'no message'}",
+                f"{'failed' if uncertain else 'rejected'}: {', '.join(sorted(unwritten)) or 'no message'}",
             )
-            # What was owed before is told as it ends; that it ended is written as soon as there is room.
-            self._unwritten = [r for r in records if r.ref not in unwritten]
-            for owed in [self._outstanding[ref] for ref in unwritten if ref in self._outstanding]:
-                if owed.pending is not None:
-                    owed.pending.settle(answer)
-                    owed.pending = None
-                owed.unwritten = True
-                self.bodies.discard(owed.message)
-                self.post(Withdraw(owed.message.ref, owed.by))
-
-    def _settle(self, fresh: list[Owed], ends: dict[str, MessageEnded]) -> None:
-        """Answer the clients of this round."""
-        for owed in fresh:
-            ended = ends.get(owed.message.ref)
-            if owed.pending is None:
+            # Outcomes of earlier messages are reported now and recorded once the disk accepts writes again.
+            self._unwritten_records = [r for r in records if r.ref not in unwritten]
+            for delivery in [self._outstanding[ref] for ref in unwritten if ref in self._outstanding]:
+                if delivery.pending is not None:
+                    delivery.pending.settle(answer)
+                    delivery.pending = None
+                delivery.unwritten = True
+                self.bodies.discard(delivery.message)
+                self.post(Withdraw(delivery.message.ref, delivery.accepted_by))
+
+    def _answer_clients(self, new_deliveries: list[Delivery], ends: dict[str, MessageEnded]) -> None:
+        """Answer the clients whose hand-ins were decided in this round."""
+        for delivery in new_deliveries:
+            ended = ends.get(delivery.message.ref)
+            if delivery.pending is None:
                 continue
             if ended is not None:
-                self._answer_end(owed, ended)
-            elif owed.message.custody is not None and self.custody is not None:
-                self._await_copies(owed)
+                self._answer_with_end(delivery, ended)
+            elif delivery.message.custody is not None and self.custody is not None:
+                self._await_copies(delivery)
             else:
-                owed.pending.settle(Answer(Verdict.ACCEPTED))
-                owed.pending = None
+                delivery.pending.settle(Answer(Verdict.ACCEPTED))
+                delivery.pending = None
 
     @staticmethod
-    def _answer_end(owed: Owed, ended: MessageEnded) -> None:
-        """Tell a client, who waits, what became of its message."""
+    def _answer_with_end(delivery: Delivery, ended: MessageEnded) -> None:
+        """Answer a waiting client with the final outcome of its message."""
         if ended.outcome == "handed_back":
-            retry = timedelta(milliseconds=ended.retry_in_ms) if ended.retry_in_ms else BACK_OFF
-            owed.pending.settle(Answer(Verdict.REJECTED, retry))
+            retry = timedelta(milliseconds=ended.retry_in_ms) if ended.retry_in_ms else DEFAULT_RETRY_AFTER
+            delivery.pending.settle(Answer(Verdict.REJECTED, retry))
         else:
-            owed.pending.settle(Answer(Verdict.FAILED))
+            delivery.pending.settle(Answer(Verdict.FAILED))
 
-    def _owe_notice(self, message: AcceptedMessage, ended: MessageEnded) -> None:
-        """Tell the platform. The next relay of its key waits until that is answered."""
+    def _send_notice(self, message: AcceptedMessage, ended: MessageEnded) -> None:
+        """Notify the platform of a final outcome. The next relay of its key waits for the answer."""
         ref = message.ref
-        self._unanswered[ref] = message, ended
+        self._unanswered_notices[ref] = message, ended
         if message.key is not None:
-            self._gates.setdefault(message.key, set()).add(ref)
+            self._key_blockers.setdefault(message.key, set()).add(ref)
         if message.custody is None or self.custody is None:
             self.notify(Notice(ref, ended.outcome, ended.retry_in_ms))
             return
         left = max(ZERO, message.ends_at - self.clock.now()) + self.custody.settings.patience
-        self.custody.wait(message.custody, left, False, lambda ok: self.post(MayTell(ref)) if ok else None)
+        self.custody.wait(
+            message.custody, left, False, lambda ok: self.post(NoticeReplicated(ref)) if ok else None
+        )
 
-    def _noticed(self, ref: str, records: list[Record]) -> None:
-        message, _ = self._unanswered.pop(ref, (None, None))
+    def _notice_answered(self, ref: str, records: list[Record]) -> None:
+        """Record that the platform has answered the notice of a message, and unblock its key."""
+        message, _ = self._unanswered_notices.pop(ref, (None, None))
         if message is None:
             return
-        records.append(kept_records.NoticeAnswered(ref))
-        self._open_gate(message.key, ref)
-
-    def _open_gate(self, key: str | None, ref: str) -> None:
-        """The next relay of a key need not wait for this message's notice any more."""
-        gate = self._gates.get(key or "", set())
-        gate.discard(ref)
-        if key is not None and not gate:
-            self._gates.pop(key, None)
-            for relay in self._gated.pop(key, []):
+        records.append(journal_records.NoticeAnswered(ref))
+        self._unblock_key(message.key, ref)
+
+    def _unblock_key(self, key: str | None, ref: str) -> None:
+        """Stop this message's notice from blocking its key; start the relays that waited for the last one."""
+        blockers = self._key_blockers.get(key or "", set())
+        blockers.discard(ref)
+        if key is not None and not blockers:
+            self._key_blockers.pop(key, None)
+            for relay in self._blocked_relays.pop(key, []):
                 self.submit(relay)
 
-    def _forget(self, owed: Owed, now: datetime, remember: bool = False) -> None:
-        """The message is over. It stays known while relays are out; an id that must not run again, longer."""
-        self._open -= not owed.over
-        owed.over = True
-        if not owed.active_relays:
-            self._outstanding.pop(owed.message.ref, None)
+    def _forget(self, delivery: Delivery, now: datetime, remember: bool = False) -> None:
+        """Mark a message as finished. It is dropped once no relay is in progress.
+
+        With `remember`, its id is kept for some seconds longer, so that a repeated hand-in is recognised.
+        """
+        self._outstanding_count -= not delivery.over
+        delivery.over = True
+        if not delivery.active_relays:
+            self._outstanding.pop(delivery.message.ref, None)
         if remember:
-            self._ended[owed.message.ref] = now + REMEMBERED
-        while self._ended:
-            oldest = next(iter(self._ended))
-            if self._ended[oldest] > now:
+            self._ended_ids[delivery.message.ref] = now + REMEMBER_TIME
+        while self._ended_ids:
+            oldest = next(iter(self._ended_ids))
+            if self._ended_ids[oldest] > now:
                 break
-            del self._ended[oldest]
+            del self._ended_ids[oldest]
 
-    def _act(self, action: api.Action, now: datetime) -> None:
-        """Carry one action out."""
+    def _carry_out(self, action: api.Action, now: datetime) -> None:
+        """Carry out one action of the decision module."""
         if isinstance(action, api.Send):
             self._send(action, now)
         elif isinstance(action, api.SetTimer):
-            heapq.heappush(self._timers, (now + span(action.after_s), next(self._order), action.label))
+            heapq.heappush(self._timers, (now + span(action.after_s), next(self._timer_order), action.label))
         elif isinstance(action, api.CancelAttempt):
             relay = (
                 self._outstanding[action.ref].active_relays.get(action.attempt)
@@ -977,65 +1075,65 @@
             if host is not None:
                 self.shared.found(time.monotonic(), host.name, action.works)
         elif isinstance(action, api.Log):
-            self._log_of_module(action)
+            self._log_from_module(action)
         elif not isinstance(action, api.Refuse | api.Fail):
-            self.log.say("module", f"no way to carry out {type(action).__name__} here")
+            self.log.say("module", f"unsupported action {type(action).__name__}")
 
-    def _log_of_module(self, action: api.Log) -> None:
-        """A line of the module's, with the name that others know the endpoint by."""
+    def _log_from_module(self, action: api.Log) -> None:
+        """Log a line of the decision module, with the listed name of the endpoint that it is about."""
         host = self.hosts.by_number.get(action.endpoint) if action.endpoint is not None else None
         about = f" ({host.name}, destination {host.destination})" if host is not None else ""
         self.log.say("module", action.text + about)
 
     def _send(self, action: api.Send, now: datetime) -> None:
-        owed, host = self._outstanding[action.ref], self.hosts.by_number.get(action.endpoint)
-        ends_at = min(now + span(action.time_out_s), owed.message.ends_at - END_MARGIN)
+        delivery, host = self._outstanding[action.ref], self.hosts.by_number.get(action.endpoint)
+        ends_at = min(now + span(action.time_out_s), delivery.message.ends_at - END_MARGIN)
         relay = Relay(
-            owed.message,
-            owed.count,
+            delivery.message,
+            delivery.relay_count,
             action.endpoint,
             host,
             now,
             ends_at,
-            repeatable=self._repeatable(owed.message),
+            repeatable=self._repeatable(delivery.message),
             stopping=self.stopped_at is not None,
         )
-        owed.count += 1
-        owed.active_relays[relay.number] = relay
+        delivery.relay_count += 1
+        delivery.active_relays[relay.number] = relay
         self.log.counters.add("attempt sent", action.phase.value)
-        if host is None or owed.unwritten:  # it left the list in this very round
+        if host is None or delivery.unwritten:  # host None: unlisted in this round
             self.post(RelayEnded(relay, api.Outcome.NOT_SENT))
-        elif owed.copying:
-            owed.parked.append(relay)
+        elif delivery.replicating:
+            delivery.held_relays.append(relay)
         else:
             self._launch(relay)
 
     def _launch(self, relay: Relay) -> None:
-        """Have a relay made, or wait for its key."""
-        if relay.message.key is not None and self._gates.get(relay.message.key):
-            self._gate(relay)
+        """Queue a relay for sending, or block it behind its key."""
+        if relay.message.key is not None and self._key_blockers.get(relay.message.key):
+            self._block_relay(relay)
         else:
-            self._leaving.append(relay)
+            self._new_relays.append(relay)
 
-    def _calls(self) -> list[list[Relay]]:
-        """This round's relays, those to one host together as far as its kind takes them."""
+    def _group_into_calls(self) -> list[list[Relay]]:
+        """This round's relays grouped into calls: those to one host together, up to its kind's batch size."""
         calls: list[list[Relay]] = []
-        open_calls: dict[int, tuple[list[Relay], int]] = {}  # by host: the last one, and its bytes
-        for relay in self._leaving:
-            most = self.settings.kinds[relay.host.kind].batch
+        open_calls: dict[int, tuple[list[Relay], int]] = {}  # by host: its last call, with its size in bytes
+        for relay in self._new_relays:
+            batch_size = self.settings.kinds[relay.host.kind].batch
             size = relay.message.body_size() + bulk.line_room(
                 relay.message.ref, relay.message.idempotency_key
             )
-            line, bytes_before = open_calls.get(relay.host.number, ([], 0))
-            if not line or len(line) >= most or bytes_before + size > BULK_MOST:
-                line, bytes_before = [], 0
-                calls.append(line)
-            line.append(relay)
-            open_calls[relay.host.number] = line, bytes_before + size
-        self._leaving = []
+            call, bytes_before = open_calls.get(relay.host.number, ([], 0))
+            if not call or len(call) >= batch_size or bytes_before + size > MAX_BULK_CALL_BYTES:
+                call, bytes_before = [], 0
+                calls.append(call)
+            call.append(relay)
+            open_calls[relay.host.number] = call, bytes_before + size
+        self._new_relays = []
         return calls
 
-    def _gate(self, relay: Relay) -> None:
-        """Have a relay wait until the notice of the message before it, of the same key, is answered."""
-        self._gated.setdefault(relay.message.key, []).append(relay)
-        heapq.heappush(self._timers, (relay.ends_at, next(self._order), relay))
+    def _block_relay(self, relay: Relay) -> None:
+        """Hold a relay until the preceding notice of its key is answered, or its time is up."""
+        self._blocked_relays.setdefault(relay.message.key, []).append(relay)
+        heapq.heappush(self._timers, (relay.ends_at, next(self._timer_order), relay))
--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -1,6 +1,7 @@
-"""The south side: one relay is one call to a south side host, made by a worker on a blocking socket.
+"""The endpoint side: makes relays, each by a call to an endpoint's host, in worker threads on blocking
+sockets.
 
-What came back becomes an outcome by PROTOCOL's table, and nothing is ever sent a second time from here.
+`read_outcome` turns an answer into an outcome. Nothing here retries: the decision module does.
 """
 
 from __future__ import annotations
@@ -19,60 +20,65 @@
 from willownotch.net import bulk, http, sockets
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
-from willownotch.net.journal import Journal, JournalFullError, JournalGivenError
+from willownotch.net.journal import Journal, JournalFullError, JournalHandedOverError
 from willownotch.net.log import Log
 from willownotch.net.registry import Host
 
 if TYPE_CHECKING:
     from willownotch.replica.service import Keeper
 
-IDLE_MARGIN = timedelta(milliseconds=300)  # a host counts idle time from earlier than is known here
-IDLE_MOST, IDLE_SHARE = 128, 0.25  # connections kept open without a relay; share of the descriptors
+IDLE_MARGIN = timedelta(milliseconds=300)  # the host's idle timer started earlier than ours
+IDLE_MOST, IDLE_SHARE = 128, 0.25  # of connections; as a share of the descriptors
 LEAST_TIME = timedelta(milliseconds=1)
-END_MARGIN = timedelta(milliseconds=100)  # a message's time began before its first byte was read here
-COPY_TIME = timedelta(seconds=1)  # that a relay waits for copies of its mark
-DISK_REST = timedelta(seconds=1)  # between two relays of a message that the disk did not let be made
-BEGIN_LATE = timedelta(milliseconds=200)  # what the kill of a stop comes later than the module counts on
-WINDOW_MARGIN = timedelta(milliseconds=20)  # of a window for repeats, for the call's way to its host
-SHORTAGE_TIME = timedelta(milliseconds=300)  # for a connection that this machine has no room for
+END_MARGIN = timedelta(milliseconds=100)  # a message's time started before its first byte was read here
+COPY_TIME = timedelta(seconds=1)  # for other senders to store a relay's record
+DISK_REST = timedelta(seconds=1)  # before a relay that failed for a disk error is reported
+BEGIN_LATE = timedelta(
+    milliseconds=200
+)  # the kill after SIGTERM comes this much later than the module assumes
+WINDOW_MARGIN = timedelta(milliseconds=20)  # of the deduplication window, for the call to reach its host
+SHORTAGE_TIME = timedelta(milliseconds=300)  # to obtain a socket or port that this machine is short of
 SHORTAGE_PAUSE = timedelta(milliseconds=10)
-REST_TIME = timedelta(milliseconds=500)  # an answer comes in one go: what stays unfinished is spoilt
+REST_TIME = timedelta(
+    milliseconds=500
+)  # from the first byte of an answer to its last; a slower one is unusable
 
 
 @dataclass(slots=True, eq=False)
 class Relay:
-    """One attempt, as the owner hands it out."""
+    """One attempt at a delivery, as the decision loop hands it out."""
 
     message: AcceptedMessage
     number: int
-    endpoint: int  # the module's number for the host
-    host: Host | None  # as the list had it then; never None for a relay that is handed to a worker
+    endpoint: int  # the decision module's number of the host
+    host: Host | None  # as listed at that time; never None for a relay that reaches a worker
     begun_at: datetime
-    ends_at: datetime  # when waiting stops
+    ends_at: datetime  # when it stops being waited for
     cancelled: bool = False
-    started: bool = False  # its first byte may have been written
+    started: bool = False  # its record is written, so its first byte may have been sent
     sock: socket.socket | None = None
     lock: threading.Lock = field(default_factory=threading.Lock)
-    remote: bool = False  # made by the process before this one, which tells its end
-    told: bool = False  # its end was told
-    together: tuple[Relay, ...] = ()  # all of its call, where it is not alone in one
-    late: bool = False  # it is not waited for any more, but its call goes on for others
+    remote: bool = False  # made by the previous process, which reports its end
+    told: bool = False  # its end was reported
+    together: tuple[Relay, ...] = ()  # all relays of its call, if there are several
+    late: bool = False  # its time is up, but its call goes on for others
     repeatable: bool = True
-    stopping: bool = False  # it was decided on with the end of the process in sight
-    reused: bool = False  # its connection is a kept one
+    stopping: bool = False  # it was decided on after SIGTERM
+    reused: bool = False  # its connection was kept alive from an earlier call
 
     def waited_for(self) -> bool:
-        """Whether its call is kept open for it."""
+        """Whether its call is still kept open on its account."""
         return not (self.told or self.late or self.cancelled)
 
     def next_at(self) -> datetime:
-        """When there is something to do about it while its call goes on."""
+        """The next time at which it needs attention while its call goes on."""
         return self.ends_at if self.waited_for() else self.message.ends_at - END_MARGIN
 
 
 @dataclass(slots=True)
 class RelayEnded:
-    """What became of a relay. `over`: the message is over for the host too, and nothing more is owed."""
+    """How a relay ended. `over`: the host has finished with the message too, so there is nothing left to
+    do."""
 
     relay: Relay
     outcome: Outcome
@@ -82,20 +88,24 @@
     over: bool = False
     room_left: float | None = None
     limit_per_s: float | None = None
-    unreadable: bool = False  # an answer came, and nothing can be made of it
-    lost: bool = False  # there is no body to send any more
+    unreadable: bool = False  # an answer came, but it could not be parsed
+    lost: bool = False  # the message's body is missing or damaged
 
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A kept connection."""
+    """A kept-alive connection that no relay uses."""
 
     sock: socket.socket
     since: datetime
 
 
 def read_load(text: str | None) -> tuple[float | None, float | None]:
-    """The report in an answer, as `x0=0.4,x1=25`: share of the limit left, and the limit."""
+    """Parse a load report such as `x0=0.4,x1=25`: the share of the limit that is left, and the limit per
+    second.
+
+    None for what is absent or cannot be read.
+    """
     values: dict[str, float] = {}
     for part in (text or "").split(","):
         name, equals, value = part.strip().partition("=")
@@ -108,7 +118,8 @@
 
 
 def read_wait(text: str | None) -> timedelta:
-    """A `Retry-After` in seconds, whole or decimal; nothing where it cannot be read."""
+    """Parse a `Retry-After` in seconds, integer or decimal. Zero if it is absent, unreadable or above a
+    day."""
     try:
         told = float(text or 0.0)
     except ValueError:
@@ -117,7 +128,8 @@
 
 
 def read_outcome(relay: Relay, status: int, headers: dict[str, str]) -> RelayEnded:
-    """PROTOCOL's table, row by row. What is in no row may have run."""
+    """The protocol's table from status to outcome. Any other status means that the call may have been
+    executed."""
     ended = RelayEnded(relay, Outcome.ERROR)
     ended.room_left, ended.limit_per_s = read_load(headers.get("server-load"))
     if status == 200:
@@ -134,12 +146,12 @@
 
 
 def max_idle_connections(config: Config) -> int:
-    """How many connections may be kept open without a relay."""
+    """How many idle connections may be kept open."""
     return min(IDLE_MOST, int(IDLE_SHARE * config.limits.sockets))
 
 
 class EndpointSide:
-    """The workers and the connections that they keep."""
+    """The worker threads that make calls, and the idle connections that they keep alive."""
 
     def __init__(
         self,
@@ -155,28 +167,30 @@
         self.config, self.clock, self.log, self.journal, self.hosts = config, clock, log, journal, hosts
         self.bodies = bodies
         self.ended, self.start = ended, start
-        self.waits: dict[int, datetime] = {}  # of a destination, until when it told to wait
-        self._queue: queue.SimpleQueue[list[Relay]] = queue.SimpleQueue()  # each of one call
+        self.waits: dict[int, datetime] = {}  # by destination: end of its Retry-After
+        self._queue: queue.SimpleQueue[list[Relay]] = queue.SimpleQueue()  # the relays of one call each
         self._lock = threading.Lock()
-        self._done = threading.Condition(self._lock)  # a relay has ended
-        self.stopping = False  # SIGTERM has come
+        self._done = threading.Condition(self._lock)  # a call has ended
+        self.stopping = False  # SIGTERM was received
         self._closing = False
-        self._parked: list[list[Relay]] = []  # that were not begun for it
-        self._idle: dict[int, list[IdleConnection]] = {}  # by host: a new one at an old address is another
+        self._parked: list[list[Relay]] = []  # calls not started because of `_closing`
+        self._idle: dict[
+            int, list[IdleConnection]
+        ] = {}  # by host number: a new host at an old address gets its own
         self._workers = 0
         self._busy = 0
         self._out: dict[tuple[str, int], Relay] = {}
         self.connects = 0
-        self._pause = threading.Event()  # never set: a wait of a moment
+        self._pause = threading.Event()  # never set; used for interruptible sleeps
         self.max_idle_connections = max_idle_connections(config)
-        self.custody: Keeper | None = None  # where marks are copied to other senders
+        self.custody: Keeper | None = None  # set if records are replicated to other senders
 
     def apply_settings(self, config: Config) -> None:
-        """Go by these settings from now on."""
+        """Apply new settings from now on."""
         self.config, self.max_idle_connections = config, max_idle_connections(config)
 
     def submit(self, *relays: Relay) -> None:
-        """Have relays made in one call; there is a worker for each call that is out."""
+        """Queue relays that go together in one call. There is one worker for each call in progress."""
         with self._lock:
             self._busy += 1
             for relay in relays:
@@ -188,7 +202,7 @@
             self._start_worker()
 
     def _start_worker(self) -> None:
-        """One more thread; where none can be had the others do its work, one call after the other."""
+        """Start one more worker. If no thread is available, the existing workers take its call in turn."""
         try:
             self.start(f"relay-{self._workers}", self._work)
         except RuntimeError as fault:
@@ -200,24 +214,25 @@
                 raise
 
     def cancel_by_id(self, ref: str, number: int) -> None:
-        """The same, for who knows only what it is called."""
+        """Like `cancel`, by a message's id and the number of its relay."""
         with self._lock:
             relay = self._out.get((ref, number))
         if relay is not None:
             self.cancel(relay)
 
     def cancel(self, relay: Relay) -> None:
-        """Stop waiting for a relay: its connection is closed, unless its call goes on for others.
+        """Stop waiting for a relay. Its connection is closed, unless its call goes on for other relays.
 
-        Then its end is told with the call's: until the connection is closed it would be out twice if it were
-        sent again."""
+        In that case its end is reported with the call's: until the connection is closed, sending the message
+        again would have it in progress twice.
+        """
         with relay.lock:
             relay.cancelled = True
             if relay.sock is not None and not any(other.waited_for() for other in relay.together):
                 self._shut(relay.sock)
 
     def close_idle(self, number: int) -> None:
-        """Close the kept connections to a host, listed or not."""
+        """Close the idle connections to a host, listed or not."""
         with self._lock:
             closing = self._idle.pop(number, [])
         for kept in closing:
@@ -227,7 +242,7 @@
         while True:
             relays = self._queue.get()
             with self._lock:
-                if self._closing:  # stays owed in the journal: an outcome would only have it sent again
+                if self._closing:  # stays outstanding in the journal; an outcome would trigger a retry
                     self._busy -= 1
                     for relay in relays:
                         self._out.pop((relay.message.ref, relay.number), None)
@@ -240,7 +255,7 @@
                 self._done.notify_all()
 
     def _tell(self, ended: RelayEnded) -> None:
-        """Tell a relay's end, once."""
+        """Report a relay's end, at most once."""
         relay = ended.relay
         with self._lock:
             if relay.told:
@@ -250,12 +265,12 @@
         ended.took = self.clock.now() - relay.begun_at
         self.log.counters.add("retry ended" if relay.number else "attempt ended", ended.outcome.name.lower())
         if ended.wait:
-            # Told to the other workers now: a relay may already have left the owner's hands.
+            # Visible to the other workers at once: the decision loop may already have handed out more relays.
             self.wait(relay.host.destination, ended.wait)
         self.ended(ended)
 
     def wait(self, destination: int, wait: timedelta) -> None:
-        """Keep a wait until it has run out, and forget those that have."""
+        """Start no relays to a destination for this time. Expired entries are purged."""
         now = self.clock.now()
         with self._lock:
             for number in [n for n, until in self.waits.items() if until <= now]:
@@ -263,7 +278,7 @@
             self.waits[destination] = max(now + wait, self.waits.get(destination, now))
 
     def finish(self, patience: timedelta) -> None:
-        """Begin no more relays, and wait for those that are out."""
+        """Start no more calls, and wait for those in progress for `patience` at most."""
         ends = self.clock.now() + patience
         with self._lock:
             self._closing = True
@@ -271,21 +286,22 @@
                 self._done.wait(seconds(left))
 
     def reopen(self) -> None:
-        """Begin relays again, those first that were not begun."""
+        """Start calls again, first those that were held back."""
         with self._lock:
             self._closing, parked, self._parked = False, self._parked, []
         for relays in parked:
             self.submit(*relays)
 
     def calls_in_progress(self) -> int:
-        """Relays in hand."""
+        """How many calls are queued or in progress."""
         with self._lock:
             return self._busy
 
     def lend(self, most: int) -> list[tuple[int, IdleConnection]]:
-        """Kept connections for another process, by host: none of them is used or closed here from now on.
+        """Remove up to `most` idle connections, as pairs of host number and connection, to give to another
+        process.
 
-        They come back by `adopt`, or are closed by who has them once the other process has them too.
+        The caller owns them: it returns them by `adopt`, or closes them once the other process has them.
         """
         lent: list[tuple[int, IdleConnection]] = []
         with self._lock:
@@ -297,21 +313,21 @@
         return lent
 
     def leave(self) -> None:
-        """Close them all: another process has them."""
+        """Close all idle connections here, since another process has them."""
         with self._lock:
             line, self._idle = [idle for kept in self._idle.values() for idle in kept], {}
         for idle in line:
             idle.sock.close()
 
     def adopt(self, waits: dict[int, datetime], kept: list[tuple[int, IdleConnection]]) -> None:
-        """Go on with another process's waits and kept connections."""
+        """Take over the waits and idle connections of another process."""
         with self._lock:
             self.waits.update(waits)
             for number, idle in kept:
                 self._idle.setdefault(number, []).append(idle)
 
     def _body(self, relay: Relay) -> bytes | RelayEnded:
-        """What is to be sent, or the end of a relay whose body is not to be had."""
+        """The body of a relay's message, or the relay's end if the body cannot be read."""
         try:
             return self.bodies.read(relay.message)
         except BodyLostError as fault:
@@ -323,8 +339,8 @@
             return RelayEnded(relay, Outcome.NOT_SENT)
 
     def _relay(self, relay: Relay) -> RelayEnded:
-        """One attempt from its body to its outcome."""
-        body = [self._body(relay)]  # a box: whoever writes it takes it out, and lets it go
+        """Make a relay that has a call of its own, from reading the body to its outcome."""
+        body = [self._body(relay)]  # in a list, so that its memory can be freed once it is written
         if isinstance(body[0], RelayEnded):
             return body[0]
         try:
@@ -338,20 +354,23 @@
             return RelayEnded(relay, Outcome.NOT_SENT)
         if not self._opened(sock, relay):
             return RelayEnded(relay, Outcome.NOT_SENT)
-        if self._barred(relay):  # the record, and copies, took a moment
+        if self._barred(relay):  # writing and replicating the record took time
             self._keep(relay, sock)
             return RelayEnded(relay, Outcome.NOT_SENT)
-        if not self._quiet(sock):  # what came before a call is no answer to it, and would garble the answer
+        if not self._quiet(sock):  # bytes that came before the call would corrupt its answer
             self._drop(relay, sock)
             return RelayEnded(relay, Outcome.NOT_SENT if relay.reused else Outcome.UNREACHABLE)
         return self._exchange(relay, sock, body)
 
     def _opened(self, sock: socket.socket, *relays: Relay) -> bool:
-        """Put on record that they may run, before the first byte: a kill right after it finds it."""
+        """Record, before the first byte is sent, that these relays may be executed; whether that succeeded.
+
+        After a kill the next process learns from the journal which messages may have been executed.
+        """
         now, first = self.clock.now(), relays[0]
         try:
             self.journal.append([RelayStarted(r.message.ref, r.number, now, r.host.name) for r in relays])
-        except JournalGivenError:  # it was never begun: the process that has it now may do so at once
+        except JournalHandedOverError:  # not started: the process that has it now may do so
             self._drop(first, sock)
             return False
         except (OSError, JournalFullError) as fault:
@@ -368,13 +387,17 @@
         return True
 
     def _copied(self, relays: tuple[Relay, ...]) -> bool:
-        """Whether others hold these marks and nobody else may act on the messages: else none is begun."""
+        """Whether enough senders hold these records and no other sender may act on the messages.
+
+        Otherwise none of the relays may be started.
+        """
         marks = [relay.message.custody for relay in relays if relay.message.custody is not None]
         left = min(relay.ends_at for relay in relays) - self.clock.now()
         return not marks or self.custody.cleared(marks, max(ZERO, min(COPY_TIME, left)))
 
     def _together(self, relays: list[Relay]) -> list[RelayEnded]:
-        """Several messages in one call. Some end on the way; the rest as the answer says, or all alike."""
+        """Make several relays in one call. Those that cannot be sent are reported at once; the ends of the
+        others, taken from the answer or from the failure of the call, are returned."""
         bodies = {relay: self._body(relay) for relay in relays}
         for body in bodies.values():
             if isinstance(body, RelayEnded):
@@ -398,7 +421,7 @@
                 self._keep(left[0], sock)
             return [RelayEnded(relay, Outcome.NOT_SENT) for relay in going]
         if barred := [r for r in going if self._barred(r)]:
-            for relay in barred:  # the record, and copies, took a moment
+            for relay in barred:  # writing and replicating the record took time
                 self._tell(RelayEnded(relay, Outcome.NOT_SENT))
             going = [relay for relay in going if relay not in barred]
             if not going:
@@ -444,7 +467,7 @@
                 now = self.clock.now()
                 for relay in relays:
                     relay.late = relay.late or relay.ends_at <= now
-                    if relay.next_at() <= now:  # nobody sends it again: its end need not wait for the others
+                    if relay.next_at() <= now:  # its time is over, so no retry can overlap: reported now
                         self._tell(RelayEnded(relay, Outcome.TIMED_OUT))
                 if not any(relay.waited_for() for relay in relays):
                     raise TimeoutError
@@ -472,13 +495,14 @@
         return ends
 
     def _rest(self, relay: Relay) -> None:
-        """Wait before a fault of the disk is told: told at once, it uses up a message's attempts."""
+        """Delay the report of a disk error. Reported at once, it would use up the message's attempts."""
         self._pause.wait(seconds(max(ZERO, min(DISK_REST, relay.ends_at - self.clock.now()))))
 
     def _barred(self, relay: Relay) -> bool:
-        """Drains, waits, time and a stop are looked at again right here: the queue may have aged.
+        """Whether a relay must not be started any more: the list, waits, time and a stop may have changed
+        since it was decided on.
 
-        Asked once before the record, which then need not be written, and again before the first byte.
+        Checked before the record is written, to save it, and again before the first byte.
         """
         host, now = self.hosts.get(relay.host.number), self.clock.now()
         if self._outside_window(relay, now):
@@ -491,8 +515,8 @@
             or host.address != relay.host.address
             or (waits is not None and now < waits)
             or now >= relay.ends_at
-            # The module counts on its decision being carried out at once: begun later, or decided on before
-            # the stop was known, it could straddle the kill and would be lost by it.
+            # The module assumes that its decisions are carried out at once. A relay that is started later, or
+            # was decided on before the stop was known, could still be in progress at the kill and be lost.
             or (
                 self.stopping
                 and not relay.repeatable
@@ -501,9 +525,10 @@
         )
 
     def _outside_window(self, relay: Relay, now: datetime) -> bool:
-        """Whether repeats may be dropped no more, counted from the first attempt that may have run.
+        """Whether the window in which the destination drops repeats may have ended.
 
-        The module asked as it decided; a connection that comes up late can outlast a short window.
+        It starts with the first attempt that may have been executed. The module checked it when it decided,
+        but setting up a connection can take longer than a short window.
         """
         rules, entry = relay.message.rules, self.journal.live.get(relay.message.ref)
         if rules is None or rules.idempotency is not Idempotency.KEYED or entry is None:
@@ -516,7 +541,8 @@
         return bool(others) and now > min(others) + timedelta(seconds=rules.dedup_window_s) - WINDOW_MARGIN
 
     def _connection(self, relay: Relay) -> socket.socket | None:
-        """A kept connection that is still good, or a new one; None if called off meanwhile."""
+        """An idle connection that is still usable, or a new one. None if the relay was cancelled meanwhile,
+        or this machine had no socket or port for it."""
         sock = self._kept(relay.host.number)
         relay.reused = sock is not None
         if sock is not None:
@@ -540,11 +566,11 @@
                     f"attempt {relay.number}: {fault}",
                 )
                 if self.clock.now() >= min(ends, relay.ends_at):
-                    return None  # nothing was learnt of the host, and nothing has left this machine
+                    return None  # a local shortage, which says nothing about the host
             self._pause.wait(seconds(SHORTAGE_PAUSE))
 
     def _connect(self, relay: Relay) -> socket.socket | None:
-        """A new connection; None if the attempt was called off meanwhile."""
+        """A new connection; None if the relay was cancelled meanwhile."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             with relay.lock:
@@ -563,7 +589,7 @@
         return sock
 
     def _kept(self, number: int) -> socket.socket | None:
-        """The kept connection used last, unless its host may be about to close it or already has."""
+        """The most recently used idle connection that its host has not closed and is not about to close."""
         closing, found = [], None
         oldest = self.clock.now() - (self.config.keepalive - IDLE_MARGIN)
         with self._lock:
@@ -582,7 +608,7 @@
 
     @staticmethod
     def _quiet(sock: socket.socket) -> bool:
-        """Whether nothing has come on an idle connection: its end would have, or an answer too many."""
+        """Whether nothing is readable on an idle connection. Its end would be, or a surplus answer."""
         try:
             sock.setblocking(False)
             sockets.retry_transient("recv", lambda: sock.recv(1, socket.MSG_PEEK))
@@ -593,7 +619,8 @@
         return False
 
     def _keep(self, relay: Relay, sock: socket.socket) -> None:
-        """Put a connection by, and drop those that have stood idle for too long, wherever they lead."""
+        """Keep a connection alive if its host is still served, and close all that have been idle for too
+        long."""
         now, closing = self.clock.now(), []
         with relay.lock:
             relay.sock = None
@@ -620,14 +647,17 @@
 
     @staticmethod
     def _shut(sock: socket.socket) -> None:
-        """Wake whoever waits on a connection by ending it."""
+        """Shut a connection down, which wakes the thread that waits on it."""
         try:
             sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # not connected yet, or no longer
+            pass  # not connected yet, or already closed
 
     def _exchange(self, relay: Relay, sock: socket.socket, body: list[bytes]) -> RelayEnded:
-        """Write the call and read its answer. A break before the last byte is written proves it never ran."""
+        """Write the call and read its answer.
+
+        A failure before the last byte is written proves that the call was not executed.
+        """
         message, whole, begun = relay.message, False, False
         parser = http.Parser(answer=True, optional=(b"server-load",))
         try:
@@ -639,13 +669,13 @@
             data = http.write_request("POST", "/inbox", f"{host}:{port}", headers, body.pop())
             sock.settimeout(seconds(max(LEAST_TIME, left)))
             sockets.send_all(sock, data)
-            del data  # a host may be silent for long
+            del data  # frees the memory while the host takes its time
             whole, ends_at = True, relay.ends_at
             while (found := parser.next()) is None:
                 if parser.eof:
                     raise ConnectionResetError
                 now = self.clock.now()
-                if parser.begun and not begun:  # a 1xx head that is whole begins nothing
+                if parser.begun and not begun:  # a complete 1xx head does not count
                     ends_at = min(relay.ends_at, now + REST_TIME)
                 elif not parser.begun:
                     ends_at = relay.ends_at
@@ -665,10 +695,11 @@
         return self._in_time(read_outcome(relay, head.status, head.headers))
 
     def _in_time(self, ended: RelayEnded) -> RelayEnded:
-        """What is read after the message's time may have been written after it: that delivers nothing.
+        """Treat a delivery that is read after the message's deadline as a timeout, since the answer may have
+        been written after the deadline.
 
-        A process short of CPU wakes late and finds an answer that was not there when its time ran out. Taken
-        for a delivery, it would leave the message without an end; a notice for one that is over does no harm.
+        A process short of CPU wakes late and finds an answer that was not there in time. Taken as a delivery,
+        it would leave the message without a final outcome; a notice for a delivered message does no harm.
         """
         late = self.clock.now() >= ended.relay.message.ends_at - END_MARGIN
         if late and ended.outcome is Outcome.DELIVERED:
@@ -678,14 +709,14 @@
     def _broken(
         self, relay: Relay, fault: Exception, whole: bool, parser: http.Parser, many: bool = False
     ) -> RelayEnded:
-        """No sound answer, and the connection is not used again.
+        """The end of a relay whose call failed without a complete, valid answer.
 
-        A first line with 200 is true in any case. All else that is spoilt proves nothing, a refusal no less:
-        the call may have run, and an unrepeatable message sent again on its word could run twice.
+        A status line with 200 is trusted on its own. Any other damaged answer proves nothing, not even a
+        rejection: the call may have been executed, and an unrepeatable message must not be sent again.
         """
         if not whole:
             return RelayEnded(relay, Outcome.NOT_SENT if relay.cancelled else Outcome.UNREACHABLE)
-        if parser.status == 200 and not many:  # of many it takes the whole answer to know
+        if parser.status == 200 and not many:  # a call of several messages needs the whole answer
             return self._in_time(read_outcome(relay, 200, parser.head.headers if parser.head else {}))
         if relay.cancelled:
             return RelayEnded(relay, Outcome.CANCELLED)
--- a/willownotch/net/events.py
+++ b/willownotch/net/events.py
@@ -1,4 +1,4 @@
-"""What comes in through the owner's queue, and the answers that go back: typed values, nothing else."""
+"""The items in the decision loop's queue and the answers that it returns. Plain values without behaviour."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 
 
 class Verdict(Enum):
-    """The answer to a client's hand-in."""
+    """What was decided on a hand-in; the client side turns it into an HTTP status."""
 
     ACCEPTED = "taken"
     REJECTED = "back off"
     FAILED = "failed"
-    CONFLICT = "conflict"  # the id is another message's
-    MOVED = "moved"  # another process decides now: it is to have the request
+    CONFLICT = "conflict"  # the id belongs to a different message
+    MOVED = "moved"  # another process decides now; the request has to be passed to it
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A verdict, and how long to stay away."""
+    """A verdict and, for a rejection, how long the client is told to wait before it retries."""
 
     verdict: Verdict
     retry: timedelta = ZERO
-    reason: str = "decided"  # of a rejection, as it is counted
+    reason: str = "decided"  # of a rejection; the label that it is counted under
 
 
 @dataclass(slots=True)
 class HandIn:
-    """A message from a client, read whole and found valid."""
+    """A message from a client, completely read and validated."""
 
     message: AcceptedMessage
     pending: PendingReply[Answer]
@@ -51,7 +51,10 @@
 
 @dataclass(slots=True)
 class MakeRoom:
-    """A hand-in's body finds room only if others end. Answered with whether they did."""
+    """Asks the loop to end less valuable messages, so that the body of `message` can be stored.
+
+    The reply is True once the round that did so is over, and False if another process has taken over.
+    """
 
     message: AcceptedMessage
     admission: Admission
@@ -60,44 +63,48 @@
 
 @dataclass(slots=True)
 class BodyLost:
-    """The body of a message was found missing or damaged."""
+    """The body of a message is missing or damaged."""
 
     ref: str
 
 
 @dataclass(slots=True)
 class Withdraw:
-    """The client was gone before it could hear that its message was taken on; `pending` was its wait."""
+    """The client disconnected before it learned that its message was accepted.
+
+    `pending` is the reply of that hand-in and proves that the request comes from it.
+    """
 
     ref: str
     pending: PendingReply | None
 
 
 @dataclass(slots=True)
-class Noticed:
-    """These messages' notices were answered."""
+class NoticesAnswered:
+    """The platform has answered the notices of these messages."""
 
     refs: list[str]
 
 
 @dataclass(slots=True)
 class TenantParts:
-    """This sender's parts of tenants' quotas, by name, as counted over all senders."""
+    """This sender's part of each tenant's quota, by tenant name, computed from the usage of all senders."""
 
     parts: dict[str, float]
 
 
 @dataclass(slots=True)
 class HandOver:
-    """Another process asks for everything: stand still between two rounds, and go by what is decided."""
+    """Another process asks to take over. The loop pauses between two rounds until `decided` has a value."""
 
     pending: PendingReply[HandoverState | None]
-    decided: queue.SimpleQueue[bool]  # whether it has been given away
+    decided: queue.SimpleQueue[bool]  # True: the other process has taken over
 
 
 @dataclass(slots=True)
 class RemoteEnded:
-    """A call that the process before this one had out has ended, or `gone`: with it, all that were left."""
+    """A call of the previous process has ended. With `gone`, that process exited and its calls ended with
+    it."""
 
     ref: str = ""
     number: int = 0
@@ -107,14 +114,15 @@
 
 @dataclass(slots=True)
 class SharedStateUpdate:
-    """What other senders share: parts of budgets, or what they have found of endpoints."""
+    """State shared by the other senders: parts of budgets, or judgements on endpoints."""
 
     found: BudgetParts | EndpointFindings
 
 
 @dataclass(slots=True)
-class Copied:
-    """Others hold a message, so its client may be told; or (not `ok`) too few do, and it is turned away."""
+class ReplicationEnded:
+    """Replication of a message has ended. With `ok`, enough senders hold a copy and its client gets its 202;
+    otherwise the message is rejected."""
 
     ref: str
     pending: PendingReply | None
@@ -122,53 +130,53 @@
 
 
 @dataclass(slots=True)
-class MayTell:
-    """Others hold a message's end: its notice may go out."""
+class NoticeReplicated:
+    """Enough senders hold the final outcome of a message, so its notice may be sent."""
 
     ref: str
 
 
 @dataclass(slots=True)
 class BookAcquired:
-    """A book is this sender's from now on, with what was found in its copies."""
+    """This sender has become the owner of a book, a set of messages that are replicated together."""
 
     won: Won
 
 
 @dataclass(slots=True)
 class BookLost:
-    """A book is another sender's: nothing in it may be sent or ended here."""
+    """Another sender owns a book now: its messages may be neither sent nor ended here."""
 
     lost: Lost
 
 
 @dataclass(slots=True)
 class BookExpired:
-    """Messages of a book that nobody could be made owner of, at their deadlines."""
+    """Messages of a book that still had no owner when their deadlines passed."""
 
     expired: Expired
 
 
 @dataclass(slots=True)
 class Flush:
-    """All that was posted before this has been dealt with."""
+    """Sets `done` once everything that was posted earlier has been processed."""
 
     done: threading.Event
 
 
 @dataclass(slots=True)
 class SettingsUpdate:
-    """A new configuration, read whole and found sound."""
+    """A new configuration, completely read and validated."""
 
     config: Config
 
 
 @dataclass(slots=True)
 class Stop:
-    """SIGTERM has come."""
+    """SIGTERM was received."""
 
 
-Item = (
+QueueItem = (
     HandIn
     | MakeRoom
     | BodyLost
@@ -176,12 +184,12 @@
     | RelayEnded
     | RemoteEnded
     | ListUpdate
-    | Noticed
+    | NoticesAnswered
     | TenantParts
     | HandOver
     | SharedStateUpdate
-    | Copied
-    | MayTell
+    | ReplicationEnded
+    | NoticeReplicated
     | BookAcquired
     | BookLost
     | BookExpired
--- a/willownotch/net/journal.py
+++ b/willownotch/net/journal.py
@@ -1,8 +1,8 @@
-"""The journal in the folder that lasts: what is owed, what may have run, which notices are unanswered.
+"""The journal: outstanding messages, calls that may have been executed, and unanswered notices.
 
-Records are appended by one write each round. The file is written anew, live records only, while old and new
-still fit the disk side by side. A large message body stands in the body store (`willownotch.bodies`), and its
-record says where.
+It lives in the state folder and outlasts the process. The records of a round are appended by one write. The
+file is compacted to its live records before it grows so far that old and new file would not fit the disk
+together. A large message body stands in the body store (`willownotch.bodies`), and its record says where.
 """
 
 from __future__ import annotations
@@ -34,36 +34,36 @@
 )
 
 NAME, NEW_NAME = "journal", "journal.new"
-CUT_TRIES = 3  # to cut off what a failed write has left, before the file is written anew instead
+TRUNCATE_TRIES = 3  # to truncate what a failed write left, before the file is rewritten instead
 
 
 class JournalFullError(RuntimeError):
     """The folder's limit does not allow this record."""
 
 
-class JournalUnsureError(OSError):
-    """Part of a write may be in the file: the next process may find these records all the same."""
+class JournalUncertainError(OSError):
+    """A write failed, but part of it may be in the file, where the next process may find these records."""
 
 
-class JournalGivenError(JournalFullError):
-    """Another process writes the journal now."""
+class JournalHandedOverError(JournalFullError):
+    """Another process has taken over and writes the journal now."""
 
 
-class BodyWatch(Protocol):
-    """Who is told, under the journal's lock, which bodies are owed."""
+class BodyListener(Protocol):
+    """Notified, under the journal's lock, of which message bodies are still needed."""
 
     def body_recorded(self, message: AcceptedMessage) -> None:
-        """A message is on record."""
+        """A message was recorded."""
 
     def body_released(self, message: AcceptedMessage) -> None:
-        """It needs its body no more."""
+        """A message no longer needs its body."""
 
     def body_relocated(self, message: AcceptedMessage, place: Place) -> None:
-        """Its body stands elsewhere now."""
+        """The body of a message has moved to another place."""
 
 
-class NoBodies:
-    """Nobody is told."""
+class IgnoredBodies:
+    """Ignores all notifications."""
 
     def body_recorded(self, message: AcceptedMessage) -> None:
         """Nothing."""
@@ -76,27 +76,32 @@
 
 
 class Journal:
-    """The live entries, in order, and the file that holds them. Any thread may append."""
+    """The live entries, in the order in which they were accepted, and the file that holds them.
+    Thread-safe."""
 
     def __init__(self, folder: Path, space: Space, files: Files = REAL) -> None:
         self.folder, self.path, self.space, self.files = folder, folder / NAME, space, files
-        self.bodies: BodyWatch = NoBodies()
-        self.counting: Callable[[list[tuple[str, str, str]]], None] | None = None  # tenant, class, what of it
-        self.shipping: Callable[[list[tuple[str, Record]]], None] | None = None  # records of books, in order
+        self.bodies: BodyListener = IgnoredBodies()
+        self.counting: Callable[[list[tuple[str, str, str]]], None] | None = (
+            None  # receives (tenant, class, event)
+        )
+        self.shipping: Callable[[list[tuple[str, Record]]], None] | None = (
+            None  # receives (book, record), in order
+        )
         self.live: dict[str, Entry] = {}
-        self.live_size = 0  # of the records, with all that may still follow
-        self.size = 0  # of the file
-        self.faults: list[str] = []  # what replay found wrong, in plain words
+        self.live_size = 0  # bytes of the live records and of all that may still follow them
+        self.size = 0  # of the file, in bytes
+        self.faults: list[str] = []  # problems found on opening, as text for the log
         self._lock = threading.Lock()
-        self._given = False  # to another process: nothing is written here any more
+        self._handed_over = False  # another process has taken over: nothing is written here
         self._file = -1
-        self._torn = False  # a failed write may have left something behind the last whole record
+        self._tail_uncertain = False  # a failed write may have left bytes after the last complete record
 
     def open(self, now: datetime | None = None) -> None:
-        """Replay what is there, then write it anew: a torn tail never stays before new records.
+        """Replay the file, then rewrite it, so that new records never follow a torn tail.
 
-        `OSError` where it cannot be read: what is owed is not known then, and nothing is written over it.
-        Where it can be read and not be written, it is written as soon as that is possible.
+        Raises `OSError` if it cannot be read: what is outstanding is unknown then, and nothing is
+        overwritten. If it can be read but not written, it is rewritten as soon as the disk allows.
         """
         self.files.make_folder(self.folder)
         try:
@@ -114,53 +119,54 @@
             self.faults.append(f"{damaged} bytes of the journal are torn or damaged and were passed over")
         self.size = len(data)
         del data
-        self._begin()
+        self._rewrite_or_defer()
 
     def adopt(self, live: dict[str, Entry]) -> None:
-        """Go on with what another process had live. The file is written anew: what it left may be torn."""
+        """Continue with the live entries of another process. The file is rewritten, since it may be torn."""
         self.files.make_folder(self.folder)
         self.live = live
         self.live_size = sum(entry.size() for entry in self.live.values())
-        self.size = self.live_size  # of the other one's file; it matters only until one is written here
-        self._begin()
+        self.size = self.live_size  # a stand-in for the old file's size until the rewrite
+        self._rewrite_or_defer()
 
-    def _begin(self) -> None:
-        """A file of this process's own. Until the disk takes one, the old one stays as it is."""
+    def _rewrite_or_defer(self) -> None:
+        """Rewrite the file. If the disk refuses, the old one stays untouched until a later write succeeds."""
         try:
             self._rewrite()
         except OSError as fault:
-            self._torn = True  # the next write begins by writing it anew
+            self._tail_uncertain = True  # the next write starts with a rewrite
             self.faults.append(f"the journal cannot be written yet, nothing new is accepted: {fault}")
 
     def freeze(self) -> None:
-        """Hold every writer up until `thaw` or `give`."""
+        """Block all writers until `thaw` or `hand_over`."""
         self._lock.acquire()
 
     def thaw(self) -> None:
-        """Go on here."""
+        """Unblock the writers; this process keeps the journal."""
         self._lock.release()
 
-    def give(self) -> None:
-        """Write nothing here any more: whoever was held up is told so."""
-        self._given = True
+    def hand_over(self) -> None:
+        """Leave the journal to another process: blocked and later writers get `JournalHandedOverError`."""
+        self._handed_over = True
         self._lock.release()
 
     def place_of(self, ref: str) -> Place | None:
-        """Where a live message's body stands in the store."""
+        """The place of a live message's body in the body store, if it has one."""
         entry = self.live.get(ref)
         return entry.message.place if entry is not None else None
 
     def fits(self, wanted: Iterable[AcceptedMessage]) -> bool:
-        """Whether these messages may be owed, too, without the folder ever outgrowing its limit."""
+        """Whether these messages can be accepted, too, without the folder ever exceeding its limit."""
         return self.space.records_fit(self.live_size + sum(map(bytes_to_reserve, wanted)))
 
     def append(self, records: Iterable[Record], adopted: bool = False) -> None:
-        """Write these records, in this order, by one write. What is adopted was counted and copied before."""
+        """Append these records, in this order, by one write. `adopted` ones are neither counted nor
+        replicated, since that was done when they were first written."""
         records = list(records)
         self._write(records, b"".join(map(frame, records)), adopted)
 
     def entries(self, number: Callable[[], int]) -> tuple[int, list[Entry]]:
-        """What is live at one moment, in order, and what `number` says at the same."""
+        """The result of `number` and copies of the live entries in order, as of the same moment."""
         with self._lock:
             return number(), [
                 msgspec.structs.replace(e, started=dict(e.started), failed=dict(e.failed))
@@ -168,27 +174,27 @@
             ]
 
     def compact(self) -> None:
-        """Write the file anew now: others need the room."""
+        """Rewrite the file now, to free space that others need."""
         with self._lock:
-            self._held()
+            self._check_not_handed_over()
             self._rewrite()
 
-    def _held(self) -> None:
-        if self._given:
-            raise JournalGivenError("another process writes the journal now")
+    def _check_not_handed_over(self) -> None:
+        if self._handed_over:
+            raise JournalHandedOverError("another process writes the journal now")
 
     def _write(self, records: list[Record], data: bytes, adopted: bool = False) -> None:
         counted: list[tuple[str, str, str]] = []
         shipped: list[tuple[str, Record]] = []
         with self._lock:
-            self._held()
-            # The file may only grow so far that a new one still fits beside it.
+            self._check_not_handed_over()
+            # The file may only grow as long as a rewritten one still fits beside it.
             most = self.space.max_journal_size(self.live_size)
             if isinstance(records[0], RelayStarted) and most < self.live_size + relay_record_bytes(
                 records[0].ref
             ):
                 raise JournalFullError("what is left is kept for the ends of messages")
-            if self._torn or self.size + len(data) > most:
+            if self._tail_uncertain or self.size + len(data) > most:
                 self._rewrite()
                 if self.size + len(data) > most:
                     raise JournalFullError(f"{self.size} bytes are live, {len(data)} more do not fit")
@@ -198,7 +204,7 @@
                 old = before.message if before else None
                 self.live_size += apply(self.live, record)
                 after = self.live.get(record.ref)
-                self._tell(record, old, after.message if after else None)
+                self._notify_bodies(record, old, after.message if after else None)
                 of = record if isinstance(record, AcceptedMessage) else old
                 if adopted or of is None:
                     continue
@@ -214,8 +220,8 @@
             self.counting(counted)
 
     def _append(self, data: bytes) -> None:
-        """One write. Of one that failed nothing stays: what follows it could not be told from damage, and
-        what it was for is refused."""
+        """Write once. Whatever a failed write left is removed: its records were refused, and records behind a
+        torn one could not be told from damage."""
         written = 0
         try:
             written = self.files.append(self._file, data)
@@ -223,19 +229,19 @@
                 raise OSError(f"only {written} of {len(data)} bytes were written")
             self.size += written
         except OSError as fault:
-            if not self._cut_off():
-                raise JournalUnsureError(f"{fault}, and what was written could not be cut off") from fault
+            if not self._truncate_tail():
+                raise JournalUncertainError(f"{fault}, and what was written could not be cut off") from fault
             raise
 
-    def _cut_off(self) -> bool:
-        """Remove what a failed write has left; whether it is surely gone."""
-        for _ in range(CUT_TRIES):
+    def _truncate_tail(self) -> bool:
+        """Remove what a failed write left in the file. Returns whether it is certainly gone."""
+        for _ in range(TRUNCATE_TRIES):
             try:
                 self.files.truncate(self._file, self.size)
                 return True
             except OSError:
                 continue
-        self._torn = True
+        self._tail_uncertain = True
         try:
             if self.files.size(self.path) <= self.size:
                 return True
@@ -244,8 +250,10 @@
             return False
         return True
 
-    def _tell(self, record: Record, old: AcceptedMessage | None, new: AcceptedMessage | None) -> None:
-        """Tell the body store what became of a body."""
+    def _notify_bodies(
+        self, record: Record, old: AcceptedMessage | None, new: AcceptedMessage | None
+    ) -> None:
+        """Notify the body store of what a record means for a message's body."""
         if old is new:
             return
         if isinstance(record, BodyMoved) and old is not None and new is not None:
@@ -257,7 +265,7 @@
             self.bodies.body_recorded(record)
 
     def _rewrite(self) -> None:
-        """Put the live records into a new file and let it take the old one's place in one step."""
+        """Write the live records into a new file that atomically replaces the old one."""
         new = self.folder / NEW_NAME
         data = b"".join(frame(r) for entry in self.live.values() for r in entry.records())
         file = self.files.create(new)
@@ -265,20 +273,21 @@
             self.files.append_all(file, data)
             self.files.replace(new, self.path)
         except OSError:
-            # It may have taken the old one's place all the same: nothing is appended until one surely has.
-            self._torn = True
+            # The replacement may have happened all the same: nothing is appended until one is certain.
+            self._tail_uncertain = True
             self._close(file)
             try:
                 self.files.remove(new)
             except OSError:
-                pass  # the next one empties it
+                pass  # the next rewrite truncates it
             raise
-        old, self._file, self.size, self._torn = self._file, file, len(data), False
+        old, self._file, self.size, self._tail_uncertain = self._file, file, len(data), False
         self._close(old)
         self.space.set_journal_size(self.size, self.live_size)
 
     def _close(self, file: int) -> None:
-        """Close a descriptor. An error leaves it closed, too, and says nothing of what was read back."""
+        """Close a descriptor. Errors are ignored: it is closed all the same, and an error says nothing about
+        data that has been read back."""
         if file >= 0:
             try:
                 self.files.close(file)
--- a/willownotch/net/pending.py
+++ b/willownotch/net/pending.py
@@ -1,4 +1,4 @@
-"""One thread's wait for another's answer, either claimed in time or abandoned, never both."""
+"""A reply that one thread waits for and another gives; it is either claimed in time or abandoned."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PendingReply(Generic[T]):
-    """Either who answers claims it in time or who waits abandons it, never both."""
+    """A one-time reply. The answering thread claims it, or the waiting thread abandons it; never both."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -21,7 +21,7 @@
         self.claimed = self.abandoned = False
 
     def claim(self) -> bool:
-        """Take it up; False if nobody waits any more."""
+        """Commit to answering. False if the waiting thread has given up."""
         with self._lock:
             self.claimed = not self.abandoned
             return self.claimed
@@ -31,7 +31,8 @@
         self._box.put(answer)
 
     def wait(self, patience: timedelta, claimed_patience: timedelta) -> T | None:
-        """The answer; None if it was not taken up in time and now never will."""
+        """The answer. None if nobody claimed it within the first timeout, or it was claimed and not given
+        within the second. After the first case it can no longer be claimed."""
         try:
             return self._box.get(timeout=seconds(max(ZERO, patience)))
         except queue.Empty:
@@ -39,7 +40,7 @@
                 self.abandoned = not self.claimed
                 if self.abandoned:
                     return None
-        try:  # being decided this moment
+        try:  # claimed, so an answer is on its way
             return self._box.get(timeout=seconds(claimed_patience))
         except queue.Empty:
             return None
--- a/willownotch/net/registry.py
+++ b/willownotch/net/registry.py
@@ -1,4 +1,5 @@
-"""What is said with the platform: the list of south side hosts by a watch, and notices of ended messages."""
+"""The exchange with the platform: a watch that delivers the list of endpoints, and notices of final
+outcomes."""
 
 from __future__ import annotations
 
@@ -19,31 +20,36 @@
 from willownotch.net.config import Config, ConfigError, ListedEndpoint, ListUpdate, read_address
 from willownotch.net.log import Log
 
-# What discovery has to tell counts as told 6 s later, if it could be reached, and a little after that nothing
-# more may go to an endpoint that it says is gone. Within that a silent watch is noticed, made anew and heard.
+# A sender that can reach discovery must know a change of the list 6 s later; soon after that nothing more may
+# be sent to an endpoint that is gone. A silent watch has to be detected and replaced, and answer, within that
+# time.
 LIST_CHANGE_GRACE = timedelta(seconds=6)
-SILENCE_TIMEOUT = timedelta(
-    seconds=3
-)  # a watch ends a line every 2 s: half as late again, and it is made anew
+SILENCE_TIMEOUT = timedelta(seconds=3)  # a watch sends a line every 2 s; 50% more is allowed
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
-# An agent on this machine answers at once and for nothing, and what it has counts as told: it is asked often.
-# A service for all senders answers one after the other, for a price, and with 503 what waits for too long.
+# An agent on this machine answers at once and at no cost, and senders are expected to know what it knows, so
+# it is asked often. A service shared by all senders answers them one by one, and with 503 after a long wait.
 AGENT_FIRST_DATA_TIMEOUT, SERVICE_FIRST_DATA_TIMEOUT = timedelta(milliseconds=500), timedelta(seconds=2)
-AGAIN_FIRST, AGAIN_MOST = timedelta(milliseconds=100), timedelta(seconds=1)  # between tries, doubling
-MAX_RETRY_DELAY_AGENT = timedelta(milliseconds=300)  # the most, where an agent is asked
-CALL_EACH = timedelta(milliseconds=200)  # x other senders: a service short of time answers each within that
-CALL_LEAST = timedelta(milliseconds=5)  # however soon the last one was answered
+AGAIN_FIRST, AGAIN_MOST = (
+    timedelta(milliseconds=100),
+    timedelta(seconds=1),
+)  # bounds of the span from which a delay is drawn, which doubles
+MAX_RETRY_DELAY_AGENT = timedelta(milliseconds=300)  # where an agent is asked
+CALL_EACH = timedelta(milliseconds=200)  # for each other sender: a busy service answers one in that time
+CALL_LEAST = timedelta(milliseconds=5)  # lower bound, however fast the last answer was
 AGAIN_LONG = (
     LIST_CHANGE_GRACE - CONNECT_TIMEOUT - SERVICE_FIRST_DATA_TIMEOUT
-)  # the most, if all can be answered
-MAX_RETRY_DELAY_AFTER_SILENCE = AGAIN_LONG - SILENCE_TIMEOUT  # and after a silence, which has taken its time
-# A service that is down refuses at once. One that is asked by too many lets them wait, and wants them apart.
+)  # where a shared service is asked and can answer all
+MAX_RETRY_DELAY_AFTER_SILENCE = (
+    AGAIN_LONG - SILENCE_TIMEOUT
+)  # after a silence, which has used up part of the time
+# A service that is down refuses at once. An overloaded one answers late, and its clients have to spread out.
 MAX_RETRY_DELAY_BUSY, BUSY_AFTER = timedelta(seconds=30), timedelta(milliseconds=300)
-# A notice is answered at once: what takes longer is lost, with its connection. Each try waits for longer.
+# Notices are answered at once: after a timeout the connection counts as lost. The timeout doubles with each
+# try.
 NOTICE_FIRST, NOTICE_MOST = timedelta(milliseconds=150), timedelta(seconds=1)
-NOTICES_MOST = 64  # notices in one call
-GONE_KEPT = timedelta(seconds=60)  # how long a host that left the list keeps its number
-MAX_WATCH_LIST_BYTES = 4 << 20  # bytes of one list of a watch
+NOTICES_MOST = 64  # in one call
+GONE_KEPT = timedelta(seconds=60)  # for which a host that left the list keeps its number
+MAX_WATCH_LIST_BYTES = 4 << 20  # of one list
 READINESS = {
     "Ready": api.Readiness.SERVING,
     "Terminating": api.Readiness.DRAINING,
@@ -53,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A south side host as the list has it."""
+    """The host of an endpoint, as listed. `since_ms` is when it appeared, as discovery tells it."""
 
     number: int
     name: str
@@ -66,27 +72,28 @@
 
 
 class Hosts:
-    """Names of the list to the module's numbers. The owner writes, relays read; an entry is never changed.
+    """The listed hosts, and the numbers by which the decision module knows them.
 
-    Hosts come and go for as long as the sender runs: a name that is gone keeps its number for a while only,
-    and no number is given twice. A difference costs by what it names, not by all that is listed.
+    Only the decision loop writes; other threads read, so an entry is replaced and never changed. A name that
+    left the list keeps its number for a limited time, so that nothing grows without bound, and no number is
+    used twice. Applying a difference costs time by the hosts that it names, not by all that are listed.
     """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], clock: Clock, log: Log) -> None:
         self.kinds, self.zones, self.clock, self.log = kinds, zones, clock, log
         self.by_number: dict[int, Host] = {}
         self._numbers: dict[str, int] = {}
-        self._last = 0  # number given
-        self._gone: dict[str, datetime] = {}  # since when a name with a number is unlisted, oldest first
-        self._at: dict[tuple[str, int], int] = {}  # of an address, the number of the one host there
-        self._listed: dict[int, int] = {}  # of a destination, how many hosts the list has
+        self._last = 0  # last number assigned
+        self._gone: dict[str, datetime] = {}  # by name: when it became unlisted, oldest first
+        self._at: dict[tuple[str, int], int] = {}  # by address: the number of the one host there
+        self._listed: dict[int, int] = {}  # by destination: how many hosts are listed
 
     def state(self) -> dict:
-        """All of it, for the process that goes on with these numbers."""
+        """The state for the process that takes over, which has to keep these numbers."""
         return {"by_number": self.by_number, "numbers": self._numbers, "last": self._last, "gone": self._gone}
 
     def adopt(self, state: dict) -> None:
-        """Go on with another process's numbers."""
+        """Continue with the hosts and numbers of another process."""
         self.by_number.update(state["by_number"])
         self._numbers, self._last, self._gone = state["numbers"], state["last"], state["gone"]
         self._at, self._listed = {}, {}
@@ -94,27 +101,28 @@
         self._count(dict.fromkeys(self.by_number))
 
     def number(self, name: str) -> int:
-        """The module's number for a host; the same until it has been gone for long."""
+        """The number of a host; the same one until it has been unlisted for longer than a minute."""
         if name not in self._numbers:
             self._last += 1
             self._numbers[name] = self._last
-            self._gone[name] = self.clock.now()  # until the list has it
+            self._gone[name] = self.clock.now()  # counts as unlisted until a list names it
         return self._numbers[name]
 
     def name(self, number: int) -> str | None:
-        """The name of a host that the list has."""
+        """The name of a listed host; None for any other number."""
         host = self.by_number.get(number)
         return host.name if host is not None else None
 
     def number_listed(self, name: str) -> int | None:
-        """The number of a host that the list has; None for any other."""
+        """The number of a listed host; None for any other name."""
         number = self._numbers.get(name)
         return number if number in self.by_number else None
 
     def read(self, news: ListUpdate) -> tuple[api.EndpointList, list[int]]:
-        """Discovery's news for the module, and hosts to which no kept connection is of use any more.
+        """Apply an update of the list.
 
-        An entry that makes no sense is named and left as it was.
+        Returns the module's event, and the numbers of hosts whose idle connections have become useless. An
+        entry that is invalid is logged and leaves its host as it was.
         """
         entries, before = [], {}
         for listed in news.endpoints:
@@ -133,9 +141,10 @@
         return api.EndpointList(tuple(entries), news.snapshot), left
 
     def _displaced(self, before: dict[int, Host | None]) -> list[api.Endpoint]:
-        """A new host at another's address is another: what was meant for the old one must not reach it.
+        """Remove hosts whose address a newer host has taken over, and return them as gone.
 
-        `before` has what was there of all numbers that may have changed, and gets what is displaced.
+        Calls meant for the old host must not reach the new one. `before` maps each number that may have
+        changed to its previous host; displaced hosts are added to it.
         """
         for number, host in before.items():
             if host is not None and self._at.get(host.address) == number:
@@ -156,7 +165,8 @@
         return [api.Endpoint(h.number, h.destination, h.kind, h.zone, api.Readiness.GONE) for h in older]
 
     def _count(self, before: dict[int, Host | None]) -> None:
-        """How many hosts a destination has: what came first, since others ask while it is counted."""
+        """Update the number of hosts of each destination. Additions come first, since other threads may read
+        the counts meanwhile and must not see a destination vanish."""
         for number in before:
             if (host := self.by_number.get(number)) is not None:
                 self._listed[host.destination] = self._listed.get(host.destination, 0) + 1
@@ -167,7 +177,7 @@
                     del self._listed[host.destination]
 
     def _forget(self, before: dict[int, Host | None]) -> None:
-        """Names that have been gone for longer than any relay, wait or cold start may last."""
+        """Forget names that have been unlisted for longer than any relay, wait or slow start may last."""
         now = self.clock.now()
         for number, host in before.items():
             if number in self.by_number:
@@ -204,19 +214,23 @@
         )
 
     def listed(self, destination: int) -> bool:
-        """Whether the list has anything for a destination."""
+        """Whether any host is listed for a destination."""
         return destination in self._listed
 
 
 class WatchDecoder:
-    """Cuts bytes into lines as they come, and the lines into lists: one may be indented over many lines."""
+    """Decodes a watch's byte stream into updates of the list. One update may be indented over several
+    lines."""
 
     def __init__(self) -> None:
         self._rest = bytearray()
-        self._begun = bytearray()  # whole lines of a list that is not whole yet
+        self._begun = bytearray()  # complete lines of an incomplete list
 
     def feed(self, data: bytes) -> tuple[list[ListUpdate], bool]:
-        """The lists that are whole now, and whether any line was. What can be no list is `DecodeError`."""
+        """The lists that are complete now, and whether any line was completed.
+
+        `DecodeError` for what cannot be a list, `BadMessageError` for one that is too long or breaks off.
+        """
         self._rest += data
         *lines, rest = self._rest.split(b"\n")
         self._rest = bytearray(rest)
@@ -230,12 +244,12 @@
                 raise http.BadMessageError(400, "a list of the watch breaks off")
             return None
         first, self._begun = not self._begun, self._begun + line
-        if not first and not line.endswith(b"}"):  # only there a list can end
+        if not first and not line.endswith(b"}"):  # a list can only end with a closing brace
             return None
         try:
             news = msgspec.json.decode(self._begun, type=ListUpdate)
         except msgspec.DecodeError as fault:
-            if "truncated" in str(fault):  # indented: more is to come
+            if "truncated" in str(fault):  # indented: more lines follow
                 return None
             raise
         self._begun = bytearray()
@@ -243,35 +257,36 @@
 
 
 class Backoff:
-    """Waits between tries: they double up to a bound, and begin anew after a success.
+    """Random delays between tries, whose span doubles up to a bound and is reset after a success.
 
-    Each is drawn from its whole span, which is wide enough for all senders to be answered one by one: their
-    watches end together, and calls that come together are answered with 503 and only keep the platform busy.
+    The span is wide enough for all senders to be answered one after the other: their watches end together,
+    and calls that arrive together are answered with 503 and only keep the platform busy.
     """
 
     def __init__(self, senders: int = 1, draw: Callable[[], float] = random.random) -> None:
         self.others, self.draw, self.each, self.tries = senders - 1, draw, CALL_EACH, 0
 
     def next(self, most: timedelta = AGAIN_LONG) -> timedelta:
-        """How long to wait now: `most` at the most, unless all senders could not be answered so soon.
-
-        To ask for what cannot be had in time would only have it come later still.
-        """
+        """The next delay, at most `most`. If all senders cannot be answered in that time, the bound is that
+        of a busy service instead: asking for what it cannot deliver in time would only delay the answers
+        further."""
         all_once = self.others * self.each
         span = min(max(AGAIN_MOST, 2 * all_once), 2**self.tries * max(AGAIN_FIRST, all_once))
         self.tries = min(10, self.tries + 1)
         return min(span, most if all_once <= 2 * AGAIN_LONG else MAX_RETRY_DELAY_BUSY) * (1.0 - self.draw())
 
     def reset(self, took: timedelta = CALL_EACH) -> None:
-        """After a success, that took so long: what is answered sooner lets more ask at once."""
+        """Reset after a success that took so long. A faster answer allows more senders to ask at the same
+        time."""
         self.tries, self.each = 0, min(CALL_EACH, max(CALL_LEAST, took))
 
 
 class Platform:
-    """Where the platform's agent is now, and the connections that lead there.
+    """The platform's address, and the open connections to it.
 
-    A new configuration moves it at any time. Whoever waits on a connection to the old address, or for the
-    next try, is woken at once: the old agent may go on and say nothing of what the new one has to tell.
+    A new configuration can change the address at any time. Threads that wait on a connection to the old
+    address or for their next try are then woken at once: the old agent may keep running without newer
+    updates.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -280,7 +295,7 @@
         self._open: set[socket.socket] = set()
 
     def move(self, address: tuple[str, int]) -> bool:
-        """Go to another address from now on; False if that is where it is."""
+        """Use another address from now on. False if it is the current one."""
         with self._changed:
             if address == self.address:
                 return False
@@ -289,12 +304,15 @@
                 try:
                     sock.shutdown(socket.SHUT_RDWR)  # wakes a blocked call; its own thread closes it
                 except OSError:
-                    pass  # not connected yet, or no longer
+                    pass  # not connected yet, or already closed
             self._changed.notify_all()
         return True
 
     def connect(self) -> tuple[socket.socket, str, int]:
-        """A new connection to where it is now, with the name to call it by and the moves made until then."""
+        """Open a connection to the current address.
+
+        Returns the socket, the value of its Host header, and the number of moves so far.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         with self._changed:
             self._open.add(sock)
@@ -303,7 +321,7 @@
             sock.settimeout(seconds(CONNECT_TIMEOUT))
             sockets.disable_nagle(sock)
             sock.connect(address)
-            with self._changed:  # a move that came before the connection was there could not end it
+            with self._changed:  # a move during the connect could not shut it down
                 if self.moves != moves:
                     raise ConnectionAbortedError("the platform has moved")
         except OSError:
@@ -312,27 +330,28 @@
         return sock, f"{address[0]}:{address[1]}", moves
 
     def close(self, sock: socket.socket) -> None:
-        """Close a connection made here."""
-        with self._changed:  # never while a move looks at it: its descriptor may be another's by then
+        """Close a connection that `connect` returned."""
+        with self._changed:  # not during a move, or its descriptor could be reused
             self._open.discard(sock)
             sock.close()
 
     def pause(self, span: timedelta, moves: int) -> None:
-        """Wait before the next try, but not once it has moved since `moves` was read."""
+        """Wait before the next try, but return at once if the address has moved since `moves` was read."""
         with self._changed:
             self._changed.wait_for(lambda: self.moves != moves, seconds(span))
 
 
 class SilentError(TimeoutError):
-    """A watch that had spoken says nothing any more."""
+    """A watch that had delivered data has fallen silent."""
 
 
 class BusyError(OSError):
-    """A watch was turned away by a service that has more to do than it can."""
+    """A watch was rejected by an overloaded service."""
 
 
 class EndpointListWatcher:
-    """Watches the list for good: a watch that breaks, is silent or talks nonsense is made anew."""
+    """Watches the list of endpoints permanently. A watch that breaks, falls silent or sends invalid data is
+    replaced, and the last list stays in force meanwhile."""
 
     def __init__(
         self, config: Config, platform: Platform, log: Log, clock: Clock, tell: Callable[[ListUpdate], None]
@@ -362,11 +381,11 @@
     def _watch(self) -> None:
         sock, name, moves = self.platform.connect()
         if moves != self._index_moves:
-            # One agent's versions say nothing to another: asked from there, changes could be left out.
+            # The versions of one agent mean nothing to another: asking from one could skip changes.
             self.index, self._index_moves = 0, moves
             self._backoff.reset()
         try:
-            # Counted from whole lines: what trickles is as silent as what says nothing.
+            # Only complete lines count as data: a connection that trickles bytes is as silent as an idle one.
             asked, heard = self.clock.now(), False
             due = asked + self.first_word
             sock.settimeout(seconds(self.first_word))
@@ -404,7 +423,7 @@
 
 
 class Notice(msgspec.Struct, omit_defaults=True):
-    """One line to the platform."""
+    """The final outcome of a message, sent to the platform as one line of JSON."""
 
     message: str
     outcome: str
@@ -412,7 +431,7 @@
 
 
 class NoticeSender:
-    """Tells the platform of ended messages, over and over until it has answered."""
+    """Sends notices of final outcomes to the platform, and repeats each until it is answered."""
 
     def __init__(self, platform: Platform, log: Log, told: Callable[[list[str]], None]) -> None:
         self.platform, self.log, self.told = platform, log, told
@@ -421,11 +440,11 @@
         self._name = ""
 
     def post(self, notice: Notice) -> None:
-        """Have a notice sent."""
+        """Queue a notice."""
         self._queue.put(notice)
 
     def run(self) -> None:
-        """Send what comes until the process ends."""
+        """Send queued notices until the process ends."""
         while True:
             notices = [self._queue.get()]
             while len(notices) < NOTICES_MOST and not self._queue.empty():
@@ -440,7 +459,7 @@
                 status = self._exchange(notices, patience)
             except (OSError, http.BadMessageError) as fault:
                 patience = min(NOTICE_MOST, 2 * patience)
-                if kept:  # it may have been closed while idle, unseen: that is no reason to wait
+                if kept:  # it may have been closed while idle: retry at once
                     self._close()
                     continue
                 self.log.say("notice", f"not answered, tried again: {fault or type(fault).__name__}")
@@ -454,7 +473,8 @@
             self.platform.pause(backoff.next(), moves)
 
     def _unread(self, notices: list[Notice]) -> None:
-        """Found unreadable: one by one, so that a single bad line holds up no other."""
+        """Handle an answer of 400: send the notices one by one, so that a bad one holds up no other, and give
+        up on a single one."""
         if len(notices) > 1:
             for notice in notices:
                 self._send([notice])
@@ -463,7 +483,8 @@
         self.told([notices[0].message])
 
     def _exchange(self, notices: list[Notice], patience: timedelta) -> int:
-        """One call on the kept connection, or on a new one. Told twice does no harm."""
+        """Make one call, on the open connection or a new one, and return its status. Duplicates are
+        harmless."""
         if self._sock is None:
             self._sock, self._name, _ = self.platform.connect()
         self._sock.settimeout(seconds(patience))
--- a/willownotch/net/rules.py
+++ b/willownotch/net/rules.py
@@ -1,6 +1,7 @@
-"""The rules that a message was taken under, as they travel with it and stand in its journal record.
+"""The rules that a message was accepted under, which are part of its journal record.
 
-Settings change while messages are open, and a process may end in between: nothing else remembers old rules.
+Settings may change while a message is outstanding, and the process may restart; only the record keeps the
+rules.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Rules(msgspec.Struct, frozen=True, array_like=True):
-    """A class of message as it was then, with the attempts that it allowed."""
+    """The settings of a message's class when it was accepted, with the number of attempts allowed."""
 
     worth: float
     wanted_s: float
@@ -29,7 +30,7 @@
 
 
 def rules_of(cls: MessageClass, attempts: int) -> Rules:
-    """The present rules of a class."""
+    """The current rules of a class."""
     return Rules(
         cls.worth,
         cls.wanted_s,
@@ -46,6 +47,7 @@
 
 @lru_cache(64)
 def class_of(name: str, rules: Rules) -> MessageClass:
-    """As the decision module has it. The few that are in use share one object each."""
+    """The class in the decision module's form. Cached, so that messages under equal rules share one
+    object."""
     own = MessageClass(name, *msgspec.structs.astuple(rules)[:-1])
     return replace(own, attempts=rules.attempts)
--- a/willownotch/net/slow_start_file.py
+++ b/willownotch/net/slow_start_file.py
@@ -1,7 +1,8 @@
-"""What a sender knows of endpoints that may be cold, kept in the folder that lasts.
+"""Stores the slow-start state of endpoints in the state folder, for the next process.
 
-Without it a process that is started in an outage, or in a slow start, takes the endpoint for healthy. The
-file is replaced whole, once a second at the most; its time tells the next process how long nobody watched.
+Without it, a process that starts during an outage or a slow start would take the endpoint for healthy. The
+file is replaced atomically, at most once a second; its time tells the next process how long nobody has
+watched.
 """
 
 from __future__ import annotations
@@ -20,29 +21,35 @@
 
 NAME = "slow-start"
 EVERY = timedelta(seconds=1)
-MAX_FILE_BYTES = 16 * 1024  # some 140 endpoints: the file is small against any folder's limit
-RESERVED_BYTES = 2 * MAX_FILE_BYTES  # of the folder, for the file and the one that replaces it
-STATES_FIRST = ("failing", "recovering", "settling", "healthy")  # what is kept where not all has room
+MAX_FILE_BYTES = 16 * 1024  # about 140 endpoints; small compared with any folder's limit
+RESERVED_BYTES = 2 * MAX_FILE_BYTES  # of the folder's limit, for the file and its replacement
+STATES_FIRST = (
+    "failing",
+    "recovering",
+    "settling",
+    "healthy",
+)  # in the order in which records are kept if not all fit
 
 
 class Row(msgspec.Struct, array_like=True):
-    """An endpoint by its name, which outlasts numbers."""
+    """The record of an endpoint, by name: numbers differ between processes."""
 
     name: str
     record: SlowStartRecord
 
 
 class SlowStartSnapshot(msgspec.Struct, array_like=True):
-    """The file's content. Times inside rows are the module's seconds, `alive_s` is `alive_at` in these."""
+    """The file's content. Times in rows are in the writing process's module seconds; the first two fields are
+    the time of writing, once as a wall-clock time and once in those seconds."""
 
     saved_at: datetime
     alive_s: float
     rows: list[Row]
-    complete: bool = True  # endpoints that are not named were healthy
+    complete: bool = True  # endpoints without a row were healthy
 
 
 class SlowStartFile:
-    """Reads what the process before left, and writes what this one knows."""
+    """Reads the state that the previous process left, and writes this one's."""
 
     def __init__(self, folder: Path, files: Files, clock: Clock, log: Log) -> None:
         self._path, self._files, self._clock, self._log = folder / NAME, files, clock, log
@@ -50,7 +57,7 @@
         self._failing = False
 
     def read(self, number_of: Callable[[str], int]) -> SlowStartRecords:
-        """What the process before knew, on this process's clock; nothing where it cannot be read."""
+        """The previous process's state with times on this process's clock. Empty if it cannot be read."""
         try:
             kept = msgspec.msgpack.decode(self._files.read_whole(self._path), type=SlowStartSnapshot)
         except FileNotFoundError:
@@ -60,7 +67,7 @@
             return SlowStartRecords((), None)
         now = self._clock.now()
         away = now - kept.saved_at
-        if away < ZERO:  # another boot, with the wall clock set back: its times mean nothing here
+        if away < ZERO:  # rebooted with the clock set back: the times are useless
             return SlowStartRecords((), None)
         shift = self._clock.module_s(kept.saved_at) - kept.alive_s
         records = tuple(_moved(row.record, number_of(row.name), shift) for row in kept.rows)
@@ -73,11 +80,12 @@
         return SlowStartRecords(records, self._clock.module_s(kept.saved_at) if kept.complete else None)
 
     def due(self, now: datetime) -> bool:
-        """Whether it is time to write."""
+        """Whether the file should be written again."""
         return self._written_at is None or now - self._written_at >= EVERY
 
     def write(self, known: SlowStartRecords, name_of: Callable[[int], str | None], now: datetime) -> None:
-        """Replace the file. Where that fails the next one is tried: the old one is only older."""
+        """Replace the file. On failure the old one stays, which is only older, and the next write tries
+        again."""
         self._written_at = now
         named = [(name_of(record.endpoint), record) for record in known.records]
         rows = [Row(name, record) for name, record in named if name is not None]
@@ -100,7 +108,8 @@
 
 
 def _moved(record: SlowStartRecord, number: int, shift: float) -> SlowStartRecord:
-    """A record with this process's number of the endpoint, and its times on this process's clock."""
+    """A copy of a record with this process's number of the endpoint and its times shifted by so many
+    seconds."""
     return SlowStartRecord(
         number,
         record.state,
