--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from willownotch.net.client_side import ClientSide
 from willownotch.net.clock import Clock
 from willownotch.net.decision_loop import DecisionLoop, Delivery
-from willownotch.net.endpoint_side import BEGIN_LATE, EndpointSide, IdleConnection, Relay
+from willownotch.net.endpoint_side import MAX_START_DELAY, EndpointSide, IdleConnection, Relay
 from willownotch.net.events import Answer, HandIn, Verdict
 from willownotch.net.log import Log
 from willownotch.net.pending import PendingReply
@@ -479,7 +479,10 @@
         ({"repeatable": True}, Outcome.DELIVERED),
         ({"repeatable": False}, Outcome.NOT_SENT),
         ({"repeatable": False, "stopping": True}, Outcome.DELIVERED),
-        ({"repeatable": False, "stopping": True, "begun_at": calls.now() - 2 * BEGIN_LATE}, Outcome.NOT_SENT),
+        (
+            {"repeatable": False, "stopping": True, "begun_at": calls.now() - 2 * MAX_START_DELAY},
+            Outcome.NOT_SENT,
+        ),
     ]
     for more, outcome in table:
         assert calls.make(**more)[1] is outcome, more
@@ -519,7 +522,7 @@
     """Written to it, the call read as broken, and an unrepeatable message was lost by what never ran."""
 
     def ended():
-        sock = next(iter(calls.endpoint_side._out.values())).sock
+        sock = next(iter(calls.endpoint_side._relays.values())).sock
         try:
             return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
@@ -582,9 +585,9 @@
         raise failures.pop(0)
 
     looked_at = SimpleNamespace(setblocking=lambda blocks: None, recv=receive)
-    assert EndpointSide._quiet(looked_at) and failures == []
+    assert EndpointSide._is_quiet(looked_at) and failures == []
     failures += [ConnectionResetError(errno.ECONNRESET, "reset")]
-    assert not EndpointSide._quiet(looked_at)
+    assert not EndpointSide._is_quiet(looked_at)
 
 
 def test_a_look_that_finds_nothing_at_first_is_made_again_whatever_fails_for_a_moment():
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -31,7 +31,13 @@
 from willownotch.net.client_requests import RefusedError, read_message
 from willownotch.net.clock import Clock, millis
 from willownotch.net.decision_loop import DecisionLoop
-from willownotch.net.endpoint_side import EndpointSide, Relay, read_load, read_outcome, read_wait
+from willownotch.net.endpoint_side import (
+    EndpointSide,
+    Relay,
+    parse_load_report,
+    parse_retry_after,
+    read_outcome,
+)
 from willownotch.net.events import Answer, Verdict
 from willownotch.net.journal import Journal, JournalFullError
 from willownotch.net.log import MOST, Log
@@ -175,7 +181,7 @@
             (-0.2, 500, Outcome.ERROR),
         ]:
             clock.at = ENDS - timedelta(seconds=early)
-            ended = endpoint_side._in_time(read_outcome(relay, status, {}))
+            ended = endpoint_side._check_deadline(read_outcome(relay, status, {}))
             self.assertEqual((ended.outcome, ended.over), (outcome, outcome is Outcome.DELIVERED), early)
 
     def test_reports_and_waits(self):
@@ -187,7 +193,7 @@
             ("x0=nan,x1=-1", (None, None)),
             (",=", (None, None)),
         ]:
-            self.assertEqual(read_load(text), found, text)
+            self.assertEqual(parse_load_report(text), found, text)
         for text, span in [
             ("2", 2.0),
             ("0.25", 0.25),
@@ -197,7 +203,7 @@
             ("inf", 0.0),
             ("nan", 0.0),
         ]:
-            self.assertEqual(read_wait(text).total_seconds(), span, text)
+            self.assertEqual(parse_retry_after(text).total_seconds(), span, text)
 
 
 class NorthSide(unittest.TestCase):
@@ -486,14 +492,14 @@
             relay = Relay(None, 0, n, host, clock.at, clock.at)
             ours, theirs = socket.socketpair()
             self.addCleanup(theirs.close)
-            endpoint_side._keep(relay, ours)
+            endpoint_side._keep_idle(relay, ours)
         self.assertLessEqual((len(endpoint_side.waits), len(endpoint_side._idle)), (3, 5))
         endpoint_side.close_idle(59)
         self.assertNotIn(59, endpoint_side._idle)
         hosts.pop(58)
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
-        endpoint_side._keep(
+        endpoint_side._keep_idle(
             Relay(None, 0, 58, Host(58, "s-58", ("127.0.0.1", 58), 58, True), ENDS, ENDS), ours
         )
         self.assertEqual(ours.fileno(), -1)  # its host is gone: closed, not kept
--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -31,7 +31,7 @@
 from willownotch.net.clock import ZERO, Clock, millis, seconds, span
 from willownotch.net.config import Config, ListUpdate
 from willownotch.net.decision_loop_replication import DEFAULT_RETRY_AFTER, REMEMBER_TIME, ReplicationMixin
-from willownotch.net.endpoint_side import END_MARGIN, Relay, RelayEnded
+from willownotch.net.endpoint_side import DEADLINE_MARGIN, Relay, RelayEnded
 from willownotch.net.events import (
     Answer,
     BodyLost,
@@ -657,9 +657,10 @@
             event, reason = rejection
             self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.REJECTED, DEFAULT_RETRY_AFTER, event))
-            text = f"{message.ref} for destination {message.destination} rejected: {reason}"
+            text = f"rejected {message.ref} for destination {message.destination}"
             self.log.say(
-                event, f"{text}; {self._outstanding_count} of {self.settings.holding_room} outstanding"
+                event,
+                f"{text}: {reason}, {self._outstanding_count} of {self.settings.holding_room} outstanding",
             )
             return
         if custody:
@@ -1077,7 +1078,7 @@
         elif isinstance(action, api.Log):
             self._log_from_module(action)
         elif not isinstance(action, api.Refuse | api.Fail):
-            self.log.say("module", f"unsupported action {type(action).__name__}")
+            self.log.say("module", f"action {type(action).__name__} is not supported")
 
     def _log_from_module(self, action: api.Log) -> None:
         """Log a line of the decision module, with the listed name of the endpoint that it is about."""
@@ -1087,7 +1088,7 @@
 
     def _send(self, action: api.Send, now: datetime) -> None:
         delivery, host = self._outstanding[action.ref], self.hosts.by_number.get(action.endpoint)
-        ends_at = min(now + span(action.time_out_s), delivery.message.ends_at - END_MARGIN)
+        ends_at = min(now + span(action.time_out_s), delivery.message.ends_at - DEADLINE_MARGIN)
         relay = Relay(
             delivery.message,
             delivery.relay_count,
