--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -407,7 +407,7 @@
 
 def test_a_notice_on_a_connection_that_fell_silent_goes_by_another_one_at_once(monkeypatch):
     """It waited a second for the answer, twice what a message may be late, before it was told again."""
-    monkeypatch.setattr(registry, "NOTICE_MOST", 10 * SPAN)
+    monkeypatch.setattr(registry, "MAX_NOTICE_TIMEOUT", 10 * SPAN)
     discovery, clock, told = Deaf(), Clock(), []
     where = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
     notices = NoticeSender(where, Log(clock), told.extend)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -468,13 +468,13 @@
                 entry = configs.ListedEndpoint(f"s-{index}", address, 7, status, "haulier")
                 news, _ = hosts.read(configs.ListUpdate(n, False, [entry]))
                 numbers.add(news.entries[0].number)
-        self.assertLess(len(hosts._numbers), 80)
+        self.assertLess(len(hosts._number_by_name), 80)
         self.assertEqual((len(numbers), sorted(hosts.by_number)), (305, sorted(hosts.by_number)))
         self.assertEqual(len(hosts.by_number), 5)
         hosts.read(configs.ListUpdate(1, True, []))
         clock.at += timedelta(seconds=61)
         hosts.read(configs.ListUpdate(2, True, []))
-        self.assertEqual((hosts._numbers, hosts._gone), ({}, {}))
+        self.assertEqual((hosts._number_by_name, hosts._unlisted_since), ({}, {}))
 
     def test_waits_and_lines_of_kept_connections(self):
         clock = Hand()
--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -326,7 +326,7 @@
         try:
             return self.bodies.read(relay.message)
         except BodyLostError as fault:
-            self.log.say("bodies", f"a relay was not made: {fault}")
+            self.log.say("bodies", f"{fault}: a relay was not made")
             return RelayEnded(relay, Outcome.NOT_SENT, lost=True)
         except OSError as fault:
             self.log.say("bodies", f"a relay was not made, since its body could not be read: {fault}")
