--- a/willownotch/net/journal.py
+++ b/willownotch/net/journal.py
@@ -62,32 +62,29 @@
         """The body of a message has moved to another place."""
 
 
-class IgnoredBodies:
-    """Ignores all notifications."""
+class NullBodyListener:
+    """A listener that ignores everything."""
 
     def body_recorded(self, message: AcceptedMessage) -> None:
-        """Nothing."""
+        """Does nothing."""
 
     def body_released(self, message: AcceptedMessage) -> None:
-        """Nothing."""
+        """Does nothing."""
 
     def body_relocated(self, message: AcceptedMessage, place: Place) -> None:
-        """Nothing."""
+        """Does nothing."""
 
 
 class Journal:
-    """The live entries, in the order in which they were accepted, and the file that holds them.
-    Thread-safe."""
+    """The live entries, in the order in which they were accepted, and their file. Thread-safe."""
 
     def __init__(self, folder: Path, space: Space, files: Files = REAL) -> None:
         self.folder, self.path, self.space, self.files = folder, folder / NAME, space, files
-        self.bodies: BodyListener = IgnoredBodies()
-        self.counting: Callable[[list[tuple[str, str, str]]], None] | None = (
-            None  # receives (tenant, class, event)
-        )
-        self.shipping: Callable[[list[tuple[str, Record]]], None] | None = (
-            None  # receives (book, record), in order
-        )
+        self.bodies: BodyListener = NullBodyListener()
+        # Called with (tenant, class, event) of each message accepted or ended, to count the usage.
+        self.counting: Callable[[list[tuple[str, str, str]]], None] | None = None
+        # Called with (book, record) in the order of the journal, to replicate the records.
+        self.shipping: Callable[[list[tuple[str, Record]]], None] | None = None
         self.live: dict[str, Entry] = {}
         self.live_size = 0  # bytes of the live records and of all that may still follow them
         self.size = 0  # of the file, in bytes
@@ -108,15 +105,15 @@
             data = self.files.read_whole(self.path)
         except FileNotFoundError:
             data = b""
-            self.faults.append("no journal found: starting with nothing owed")
+            self.faults.append("no journal found: starting with no outstanding messages")
         self.live, damaged = replay(data)
         if now is not None:
-            late = sum(rebase_future_times(entry, now) for entry in self.live.values())
-            if late:
-                self.faults.append(f"{late} messages have times after now, which were moved back to it")
+            shifted = sum(rebase_future_times(entry, now) for entry in self.live.values())
+            if shifted:
+                self.faults.append(f"{shifted} messages have times after now, which were set back to now")
         self.live_size = sum(entry.size() for entry in self.live.values())
         if damaged:
-            self.faults.append(f"{damaged} bytes of the journal are torn or damaged and were passed over")
+            self.faults.append(f"{damaged} bytes of the journal are torn or damaged and were skipped")
         self.size = len(data)
         del data
         self._rewrite_or_defer()
@@ -155,9 +152,9 @@
         entry = self.live.get(ref)
         return entry.message.place if entry is not None else None
 
-    def fits(self, wanted: Iterable[AcceptedMessage]) -> bool:
+    def fits(self, messages: Iterable[AcceptedMessage]) -> bool:
         """Whether these messages can be accepted, too, without the folder ever exceeding its limit."""
-        return self.space.records_fit(self.live_size + sum(map(bytes_to_reserve, wanted)))
+        return self.space.records_fit(self.live_size + sum(map(bytes_to_reserve, messages)))
 
     def append(self, records: Iterable[Record], adopted: bool = False) -> None:
         """Append these records, in this order, by one write. `adopted` ones are neither counted nor
@@ -180,23 +177,28 @@
             self._rewrite()
 
     def _check_not_handed_over(self) -> None:
+        """Raise if another process writes the journal now."""
         if self._handed_over:
             raise JournalHandedOverError("another process writes the journal now")
 
     def _write(self, records: list[Record], data: bytes, adopted: bool = False) -> None:
+        """Append encoded records and apply them to the live entries. `JournalFullError` if they do not fit.
+
+        Records that are not `adopted` are also counted and passed on for replication.
+        """
         counted: list[tuple[str, str, str]] = []
         shipped: list[tuple[str, Record]] = []
         with self._lock:
             self._check_not_handed_over()
             # The file may only grow as long as a rewritten one still fits beside it.
-            most = self.space.max_journal_size(self.live_size)
-            if isinstance(records[0], RelayStarted) and most < self.live_size + relay_record_bytes(
+            max_size = self.space.max_journal_size(self.live_size)
+            if isinstance(records[0], RelayStarted) and max_size < self.live_size + relay_record_bytes(
                 records[0].ref
             ):
-                raise JournalFullError("what is left is kept for the ends of messages")
-            if self._tail_uncertain or self.size + len(data) > most:
+                raise JournalFullError("the remaining space is reserved for final outcomes")
+            if self._tail_uncertain or self.size + len(data) > max_size:
                 self._rewrite()
-                if self.size + len(data) > most:
+                if self.size + len(data) > max_size:
                     raise JournalFullError(f"{self.size} bytes are live, {len(data)} more do not fit")
             self._append(data)
             for record in records:
@@ -205,14 +207,14 @@
                 self.live_size += apply(self.live, record)
                 after = self.live.get(record.ref)
                 self._notify_bodies(record, old, after.message if after else None)
-                of = record if isinstance(record, AcceptedMessage) else old
-                if adopted or of is None:
+                message = record if isinstance(record, AcceptedMessage) else old
+                if adopted or message is None:
                     continue
                 if self.counting is not None and isinstance(record, AcceptedMessage | MessageEnded):
-                    what = "taken" if isinstance(record, AcceptedMessage) else record.outcome
-                    counted.append((of.tenant, of.message_class, what))
-                if of.custody is not None and not isinstance(record, BodyMoved):
-                    shipped.append((of.custody.book, record))
+                    event = "taken" if isinstance(record, AcceptedMessage) else record.outcome
+                    counted.append((message.tenant, message.message_class, event))
+                if message.custody is not None and not isinstance(record, BodyMoved):
+                    shipped.append((message.custody.book, record))
             if shipped and self.shipping is not None:
                 self.shipping(shipped)
             self.space.set_journal_size(self.size, self.live_size)
@@ -230,7 +232,7 @@
             self.size += written
         except OSError as fault:
             if not self._truncate_tail():
-                raise JournalUncertainError(f"{fault}, and what was written could not be cut off") from fault
+                raise JournalUncertainError(f"{fault}, and the partial write could not be removed") from fault
             raise
 
     def _truncate_tail(self) -> bool:
