--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -578,7 +578,7 @@
             b"a1 - 5\r\nhello\r\na2 k 2\r\n\r\n\r\n",
         )
         for ref, key, body in [("a1", None, b"x" * 65536), ("r" * 128, "k" * 128, b"")]:
-            most = len(body) + bulk.line_room(ref, key)
+            most = len(body) + bulk.max_overhead_bytes(ref, key)
             self.assertLessEqual(len(bulk.write_body([(ref, key, body)])), most)
 
     def test_what_the_answer_says_of_each_and_what_it_does_not_say(self):
--- a/willownotch/net/bulk.py
+++ b/willownotch/net/bulk.py
@@ -1,5 +1,4 @@
-"""The format of a call that carries several messages: its body, and its answer with a line for each. No
-I/O."""
+"""The format of a call that carries several messages: its body, and an answer with a line for each."""
 
 from __future__ import annotations
 
@@ -9,7 +8,7 @@
 
 TARGET = "/inbox/bulk"
 # Word of the answer: the message's outcome, and whether the host has finished with the message.
-WORDS = {
+OUTCOME_BY_WORD = {
     "delivered": (Outcome.DELIVERED, True),
     "failed": (Outcome.ERROR, False),
     "refused": (Outcome.REJECTED, False),
@@ -26,7 +25,7 @@
     return b"".join(parts)
 
 
-def line_room(ref: str, key: str | None) -> int:
+def max_overhead_bytes(ref: str, key: str | None) -> int:
     """Upper bound of the bytes that a message takes besides its body."""
     return len(ref) + len(key or "-") + 16
 
@@ -34,15 +33,15 @@
 def read_answer(body: bytes, refs: Iterable[str]) -> dict[str, tuple[Outcome, bool]]:
     """The outcome of each message, and whether the host has finished with it.
 
-    A message that the answer omits, names twice or gives an unknown word may have been executed: an error.
+    A message that is omitted, named twice or has an unknown word may have been executed, so it is an error.
     """
-    said: dict[str, list[str]] = {}
+    words_by_ref: dict[str, list[str]] = {}
     for line in body.decode("latin-1").splitlines():
         ref, _, word = line.strip().partition(" ")
-        said.setdefault(ref, []).append(word.strip())
+        words_by_ref.setdefault(ref, []).append(word.strip())
     return {
-        ref: WORDS.get(words[0], (Outcome.ERROR, False))
-        if len(words := said.get(ref, [])) == 1
+        ref: OUTCOME_BY_WORD.get(words[0], (Outcome.ERROR, False))
+        if len(words := words_by_ref.get(ref, [])) == 1
         else (Outcome.ERROR, False)
         for ref in refs
     }
--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -1122,7 +1122,7 @@
         open_calls: dict[int, tuple[list[Relay], int]] = {}  # by host: its last call, with its size in bytes
         for relay in self._new_relays:
             batch_size = self.settings.kinds[relay.host.kind].batch
-            size = relay.message.body_size() + bulk.line_room(
+            size = relay.message.body_size() + bulk.max_overhead_bytes(
                 relay.message.ref, relay.message.idempotency_key
             )
             call, bytes_before = open_calls.get(relay.host.number, ([], 0))
