--- a/willownotch/net/pending.py
+++ b/willownotch/net/pending.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._box: queue.SimpleQueue[T] = queue.SimpleQueue()
+        self._answer: queue.SimpleQueue[T] = queue.SimpleQueue()
         self.claimed = self.abandoned = False
 
     def claim(self) -> bool:
@@ -28,19 +28,19 @@
 
     def settle(self, answer: T) -> None:
         """Give the answer."""
-        self._box.put(answer)
+        self._answer.put(answer)
 
-    def wait(self, patience: timedelta, claimed_patience: timedelta) -> T | None:
-        """The answer. None if nobody claimed it within the first timeout, or it was claimed and not given
-        within the second. After the first case it can no longer be claimed."""
+    def wait(self, timeout: timedelta, claimed_timeout: timedelta) -> T | None:
+        """Wait for the answer. None if it was not claimed within `timeout`, after which it cannot be, or if it
+        was claimed but not given within `claimed_timeout` more."""
         try:
-            return self._box.get(timeout=seconds(max(ZERO, patience)))
+            return self._answer.get(timeout=seconds(max(ZERO, timeout)))
         except queue.Empty:
             with self._lock:
                 self.abandoned = not self.claimed
                 if self.abandoned:
                     return None
         try:  # claimed, so an answer is on its way
-            return self._box.get(timeout=seconds(claimed_patience))
+            return self._answer.get(timeout=seconds(claimed_timeout))
         except queue.Empty:
             return None
--- a/willownotch/net/rules.py
+++ b/willownotch/net/rules.py
@@ -1,7 +1,6 @@
 """The rules that a message was accepted under, which are part of its journal record.
 
-Settings may change while a message is outstanding, and the process may restart; only the record keeps the
-rules.
+Settings may change while a message is outstanding, and the process may restart: only the record keeps them.
 """
 
 from __future__ import annotations
@@ -47,7 +46,6 @@
 
 @lru_cache(64)
 def class_of(name: str, rules: Rules) -> MessageClass:
-    """The class in the decision module's form. Cached, so that messages under equal rules share one
-    object."""
+    """The class in the decision module's form. Cached, so that messages with equal rules share one object."""
     own = MessageClass(name, *msgspec.structs.astuple(rules)[:-1])
     return replace(own, attempts=rules.attempts)
