--- a/willownotch/net/slow_start_file.py
+++ b/willownotch/net/slow_start_file.py
@@ -1,8 +1,7 @@
 """Stores the slow-start state of endpoints in the state folder, for the next process.
 
 Without it, a process that starts during an outage or a slow start would take the endpoint for healthy. The
-file is replaced atomically, at most once a second; its time tells the next process how long nobody has
-watched.
+file is replaced atomically, at most once a second; its time tells how long no process has watched.
 """
 
 from __future__ import annotations
@@ -20,18 +19,13 @@
 from willownotch.net.log import Log
 
 NAME = "slow-start"
-EVERY = timedelta(seconds=1)
+WRITE_INTERVAL = timedelta(seconds=1)
 MAX_FILE_BYTES = 16 * 1024  # about 140 endpoints; small compared with any folder's limit
 RESERVED_BYTES = 2 * MAX_FILE_BYTES  # of the folder's limit, for the file and its replacement
-STATES_FIRST = (
-    "failing",
-    "recovering",
-    "settling",
-    "healthy",
-)  # in the order in which records are kept if not all fit
+STATE_PRIORITY = ("failing", "recovering", "settling", "healthy")  # records to keep first if not all fit
 
 
-class Row(msgspec.Struct, array_like=True):
+class EndpointRow(msgspec.Struct, array_like=True):
     """The record of an endpoint, by name: numbers differ between processes."""
 
     name: str
@@ -39,12 +33,12 @@
 
 
 class SlowStartSnapshot(msgspec.Struct, array_like=True):
-    """The file's content. Times in rows are in the writing process's module seconds; the first two fields are
-    the time of writing, once as a wall-clock time and once in those seconds."""
+    """The file's content. Times in rows are the module's seconds in the process that wrote them; `saved_s` is
+    `saved_at` in those."""
 
     saved_at: datetime
-    alive_s: float
-    rows: list[Row]
+    saved_s: float
+    rows: list[EndpointRow]
     complete: bool = True  # endpoints without a row were healthy
 
 
@@ -54,62 +48,62 @@
     def __init__(self, folder: Path, files: Files, clock: Clock, log: Log) -> None:
         self._path, self._files, self._clock, self._log = folder / NAME, files, clock, log
         self._written_at: datetime | None = None
-        self._failing = False
+        self._write_failing = False
 
     def read(self, number_of: Callable[[str], int]) -> SlowStartRecords:
         """The previous process's state with times on this process's clock. Empty if it cannot be read."""
         try:
-            kept = msgspec.msgpack.decode(self._files.read_whole(self._path), type=SlowStartSnapshot)
+            snapshot = msgspec.msgpack.decode(self._files.read_whole(self._path), type=SlowStartSnapshot)
         except FileNotFoundError:
             return SlowStartRecords((), None)
         except (OSError, msgspec.MsgspecError) as fault:
-            self._log.say("slow start", f"what was known of endpoints cannot be read: {fault}")
+            self._log.say("slow start", f"the saved state of endpoints cannot be read: {fault}")
             return SlowStartRecords((), None)
         now = self._clock.now()
-        away = now - kept.saved_at
-        if away < ZERO:  # rebooted with the clock set back: the times are useless
+        elapsed = now - snapshot.saved_at
+        if elapsed < ZERO:  # rebooted with the clock set back: the times are useless
             return SlowStartRecords((), None)
-        shift = self._clock.module_s(kept.saved_at) - kept.alive_s
-        records = tuple(_moved(row.record, number_of(row.name), shift) for row in kept.rows)
-        names = ", ".join(f"{row.name} {row.record.state}" for row in kept.rows[:10])
+        shift = self._clock.module_s(snapshot.saved_at) - snapshot.saved_s
+        records = tuple(_shift_times(row.record, number_of(row.name), shift) for row in snapshot.rows)
+        names = ", ".join(f"{row.name} {row.record.state}" for row in snapshot.rows[:10])
         self._log.say(
             "slow start",
-            f"{len(records)} endpoints were known not to be healthy {away.total_seconds():.1f} s ago: "
+            f"{len(records)} endpoints were known not to be healthy {elapsed.total_seconds():.1f} s ago: "
             f"{names or 'none'}",
         )
-        return SlowStartRecords(records, self._clock.module_s(kept.saved_at) if kept.complete else None)
+        return SlowStartRecords(
+            records, self._clock.module_s(snapshot.saved_at) if snapshot.complete else None
+        )
 
     def due(self, now: datetime) -> bool:
         """Whether the file should be written again."""
-        return self._written_at is None or now - self._written_at >= EVERY
+        return self._written_at is None or now - self._written_at >= WRITE_INTERVAL
 
-    def write(self, known: SlowStartRecords, name_of: Callable[[int], str | None], now: datetime) -> None:
-        """Replace the file. On failure the old one stays, which is only older, and the next write tries
-        again."""
+    def write(self, current: SlowStartRecords, name_of: Callable[[int], str | None], now: datetime) -> None:
+        """Replace the file. On failure the old one stays, which is merely older, until the next write."""
         self._written_at = now
-        named = [(name_of(record.endpoint), record) for record in known.records]
-        rows = [Row(name, record) for name, record in named if name is not None]
-        rows.sort(key=lambda row: STATES_FIRST.index(row.record.state))
-        data = self._encode(rows, known.saved_at is not None, now)
+        named = [(name_of(record.endpoint), record) for record in current.records]
+        rows = [EndpointRow(name, record) for name, record in named if name is not None]
+        rows.sort(key=lambda row: STATE_PRIORITY.index(row.record.state))
+        data = self._encode(rows, current.saved_at is not None, now)
         while len(data) > MAX_FILE_BYTES:
             rows = rows[: len(rows) // 2]
             data = self._encode(rows, False, now)
         try:
             replace_file(self._files, self._path, data)
         except OSError as fault:
-            if not self._failing:
-                self._log.say("slow start", f"what is known of endpoints cannot be written: {fault}")
-            self._failing = True
+            if not self._write_failing:
+                self._log.say("slow start", f"the state of endpoints cannot be saved: {fault}")
+            self._write_failing = True
         else:
-            self._failing = False
+            self._write_failing = False
 
-    def _encode(self, rows: list[Row], complete: bool, now: datetime) -> bytes:
+    def _encode(self, rows: list[EndpointRow], complete: bool, now: datetime) -> bytes:
         return msgspec.msgpack.encode(SlowStartSnapshot(now, self._clock.module_s(now), rows, complete))
 
 
-def _moved(record: SlowStartRecord, number: int, shift: float) -> SlowStartRecord:
-    """A copy of a record with this process's number of the endpoint and its times shifted by so many
-    seconds."""
+def _shift_times(record: SlowStartRecord, number: int, shift: float) -> SlowStartRecord:
+    """A copy of a record with this process's number of the endpoint, and times later by `shift` seconds."""
     return SlowStartRecord(
         number,
         record.state,
