--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,7 @@
-"""Where two events cross, in the order that goes wrong: forced by a stand-in or at a seam, never waited for.
+"""Races between two events, in the order that used to go wrong.
 
-docs/crossings.md has a row for each. Connections are real; each test fails with its mend taken out.
+The order is forced by a fake or a hook, never by waiting for it. Connections are real. docs/crossings.md has
+a row for each race, and each test fails without the fix that it guards.
 """
 
 import errno
@@ -54,46 +55,47 @@
     threading.Thread(target=work, daemon=True, name=name).start()
 
 
-def waiting(sock, size=1):
-    """Wait until so many bytes have come on a connection and nobody has taken them off."""
+def wait_unread(sock, size=1):
+    """Wait until so many bytes are readable on a connection, without reading them."""
     until(lambda: len(sock.recv(size, socket.MSG_PEEK | socket.MSG_DONTWAIT)) == size)
 
 
-def rest(sock):
-    """All that comes until the end; a reset is an error."""
+def read_to_end(sock):
+    """All bytes until the connection ends. A reset raises."""
     data = b""
     while more := sock.recv(65536):
         data += more
     return data
 
 
-class Clients:
-    """The client side alone. What it hands in is kept, and answered once a test says so."""
+class ClientRig:
+    """A client side without a decision loop. Hand-ins are collected and answered once `answer` is set."""
 
     def __init__(self):
         clock = Clock()
-        self.handed, self.answer = [], threading.Event()
+        self.hand_ins, self.answer = [], threading.Event()
         self.answer.set()
-        bodies = SimpleNamespace(keep=lambda taken, left, last=False: taken)
+        bodies = SimpleNamespace(keep=lambda message, left, last=False: message)
         self.client_side = ClientSide(config(), clock, Log(clock), self, bodies, start, SharedLifecycle())
         start("listener", self.client_side.run)
 
     def post(self, item):
         if isinstance(item, HandIn):
             assert item.pending.claim()
-            self.handed.append(item)
+            self.hand_ins.append(item)
             start(
-                "owner", lambda: (self.answer.wait(PATIENCE), item.pending.settle(Answer(Verdict.ACCEPTED)))
+                "decision loop",
+                lambda: (self.answer.wait(PATIENCE), item.pending.settle(Answer(Verdict.ACCEPTED))),
             )
 
     def connect(self):
-        """A connection, and what is known of it on the other side."""
+        """A new connection: its socket, and the server's object for it."""
         before = set(self.client_side._clients)
         sock = socket.create_connection(("127.0.0.1", self.client_side.port), PATIENCE)
         return sock, until(lambda: self.client_side._clients - before).pop()
 
-    def resting(self):
-        """One on which a request has been answered."""
+    def connect_idle(self):
+        """A new connection on which one request has been answered."""
         sock, client = self.connect()
         sock.sendall(REQUEST)
         assert b"202 Accepted" in sock.recv(65536)
@@ -103,99 +105,102 @@
 
 @pytest.fixture
 def clients():
-    found = Clients()
-    yield found
-    found.client_side.listener.close()
+    rig = ClientRig()
+    yield rig
+    rig.client_side.listener.close()
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_taken(clients, monkeypatch, cut):
-    """It was read after the end had been told, and sent on; its client had handed it in elsewhere by then."""
-    sock, client = clients.resting()
+def test_a_request_that_arrives_as_an_idle_connection_is_closed_is_not_accepted(clients, monkeypatch, cut):
+    """Such a request was read after the close had been announced, and delivered, while its client had already
+    handed it in elsewhere."""
+    sock, client = clients.connect_idle()
     real = Client.waits
 
     def crossed(self):
         found = real(self)
-        sock.sendall(REQUEST.replace(b"a1", b"a2"))  # after the last look, before the end
+        sock.sendall(REQUEST.replace(b"a1", b"a2"))  # after the last check, before the close
         return found
 
     monkeypatch.setattr(Client, "waits", crossed)
     ClientSide._end(client, cut=cut)
     until(lambda: client not in clients.client_side._clients)
-    assert [item.message.ref for item in clients.handed] == ["a1"]
+    assert [item.message.ref for item in clients.hand_ins] == ["a1"]
     sock.close()
 
 
-def test_a_request_that_came_before_the_end_is_answered(clients, monkeypatch):
-    """Ended over it, its client would have to hand it in once more."""
-    sock, client = clients.resting()
-    with client.lock:  # its thread cannot take it off yet
+def test_a_request_that_arrived_before_the_close_is_answered(clients, monkeypatch):
+    """If the connection is closed without an answer, the client has to hand its message in again."""
+    sock, client = clients.connect_idle()
+    with client.lock:  # its thread cannot read the request yet
         sock.sendall(REQUEST.replace(b"a1", b"a2"))
         until(lambda: not client.waits())
         monkeypatch.setattr(client, "lock", threading.Lock())
         ClientSide._end(client)
     assert client.ending and not client.shut
-    answer = rest(sock)
+    answer = read_to_end(sock)
     assert b"202 Accepted" in answer and b"Connection: close" in answer
-    assert [item.message.ref for item in clients.handed] == ["a1", "a2"]
+    assert [item.message.ref for item in clients.hand_ins] == ["a1", "a2"]
 
 
-def test_bytes_behind_the_last_request_do_not_eat_its_answer(clients):
-    """The connection was closed over them, and the reset took the 202 along."""
+def test_bytes_after_the_last_request_do_not_lose_its_answer(clients):
+    """The connection was closed with unread bytes, and the resulting reset discarded the 202."""
     clients.answer.clear()
     sock, client = clients.connect()
     sock.sendall(REQUEST.replace(b"Host: a\r\n", b"Host: a\r\nConnection: close\r\n"))
-    until(lambda: clients.handed)
+    until(lambda: clients.hand_ins)
     sock.sendall(b"x" * 100_000)
-    waiting(client.sock)
+    wait_unread(client.sock)
     clients.answer.set()
-    assert b"202 Accepted" in rest(sock)
+    assert b"202 Accepted" in read_to_end(sock)
 
 
-def test_requests_read_together_are_all_answered_before_an_end(clients):
-    """The first answer said `Connection: close`; the second request was dropped, though it had been read."""
+def test_pipelined_requests_are_all_answered_before_a_close(clients):
+    """The first answer carried `Connection: close`, and the second request was dropped after it had been
+    read."""
     clients.answer.clear()
     sock, client = clients.connect()
     sock.sendall(REQUEST + REQUEST.replace(b"a1", b"a2"))
-    until(lambda: clients.handed)
+    until(lambda: clients.hand_ins)
     ClientSide._end(client)
     clients.answer.set()
-    assert rest(sock).count(b"202 Accepted") == 2
+    assert read_to_end(sock).count(b"202 Accepted") == 2
 
 
-def test_who_ends_connections_never_sees_a_closed_one(clients, monkeypatch):
-    """Closed before it was forgotten, it had no descriptor to ask: listener and sender died of that."""
-    sock, client = clients.resting()
-    closed, seen = socket.socket.close, []
+def test_a_connection_is_deregistered_before_it_is_closed(clients, monkeypatch):
+    """The listener polled a connection that was closed but still registered. The invalid descriptor ended the
+    listener thread, and with it the sender."""
+    sock, client = clients.connect_idle()
+    real_close, registered_at_close = socket.socket.close, []
 
-    def looked(self):
-        known = client in clients.client_side._clients
-        closed(self)
-        seen.append(known)
+    def close(self):
+        registered = client in clients.client_side._clients
+        real_close(self)
+        registered_at_close.append(registered)
 
-    monkeypatch.setattr(socket.socket, "close", looked)
+    monkeypatch.setattr(socket.socket, "close", close)
     with clients.client_side._clients_changed:
         ClientSide._end(client)
     sock.shutdown(socket.SHUT_RDWR)
-    until(lambda: seen)
-    assert seen == [False]
-    closed(sock)
+    until(lambda: registered_at_close)
+    assert registered_at_close == [False]
+    real_close(sock)
 
 
-def test_a_crowd_at_the_bound_is_not_looked_through_for_each_that_comes(clients, monkeypatch):
-    """300 a second came to 384 that rest, and looking for the idlest took most of the processor: notices of
-    messages whose time was up went out too late (brink 110100, herd+crowd)."""
-    looks, waits, made = [], [], []
+def test_a_new_connection_at_the_limit_does_not_scan_all_connections(clients, monkeypatch):
+    """With 384 idle connections and 300 new ones a second, searching for the idlest took most of the CPU, and
+    notices were sent too late (seed 110100, herd+crowd)."""
+    checks, waits, created = [], [], []
 
-    class Looked(Client):
+    class CountingClient(Client):
         def __init__(self, *arguments):
             self._ending = False
             super().__init__(*arguments)
-            made.append(self)
+            created.append(self)
 
         @property
         def ending(self):
-            looks.append(self)
+            checks.append(self)
             return self._ending
 
         @ending.setter
@@ -203,7 +208,7 @@
             self._ending = value
 
     real = clients.client_side._clients_changed.wait
-    monkeypatch.setattr(client_side, "Client", Looked)
+    monkeypatch.setattr(client_side, "Client", CountingClient)
     monkeypatch.setattr(
         clients.client_side._clients_changed, "wait", lambda span=None: waits.append(span) or real(span)
     )
@@ -211,15 +216,15 @@
     address, socks = ("127.0.0.1", clients.client_side.port), []
     for count in range(1, 141):
         socks.append(socket.create_connection(address, PATIENCE))
-        until(lambda count=count: len(made) == count)
+        until(lambda count=count: len(created) == count)
         if count == 100:
-            looks.clear(), waits.clear()
-    assert len(looks) <= 10 * (40 + len(waits))
+            checks.clear(), waits.clear()
+    assert len(checks) <= 10 * (40 + len(waits))
     for sock in socks:
         sock.close()
 
 
-def test_who_makes_room_is_the_one_longest_at_the_first_stage_that_has_any_long_enough():
+def test_the_connection_to_close_is_the_one_longest_in_the_first_stage_with_an_eligible_one():
     stages, began, pairs = StageQueues(), Clock().now(), [socket.socketpair() for _ in range(6)]
     steps = [
         (Stage.READING, 0),
@@ -229,47 +234,47 @@
         (Stage.ANSWERING, 0),
         (Stage.IDLE, 10),
     ]
-    several = [Client(pair[0], began, stages) for pair in pairs]
-    for client, (stage, after) in sorted(zip(several, steps, strict=True), key=lambda row: row[1][1]):
+    clients = [Client(pair[0], began, stages) for pair in pairs]
+    for client, (stage, after) in sorted(zip(clients, steps, strict=True), key=lambda row: row[1][1]):
         client.at(stage, began + timedelta(milliseconds=after))
-    asked = (60, 60, 60, 140, 140, 999, 1000, 9999)
-    found = [stages.idlest(began + timedelta(milliseconds=after)) for after in asked]
-    assert [client and several.index(client) for client in found] == [5, 1, None, 3, 2, None, 0, None]
-    several[0].ending = True
-    several[0].at(Stage.LEAVING, began)
-    stages.move(several[1], Stage.IDLE, began)
-    stages.move(several[2], Stage.IDLE, began)
-    several[1].ending = True
-    assert stages.idlest(began) is several[2] and stages.idlest(began) is None
+    asked_ms = (60, 60, 60, 140, 140, 999, 1000, 9999)
+    found = [stages.idlest(began + timedelta(milliseconds=after)) for after in asked_ms]
+    assert [client and clients.index(client) for client in found] == [5, 1, None, 3, 2, None, 0, None]
+    clients[0].ending = True
+    clients[0].at(Stage.LEAVING, began)
+    stages.move(clients[1], Stage.IDLE, began)
+    stages.move(clients[2], Stage.IDLE, began)
+    clients[1].ending = True
+    assert stages.idlest(began) is clients[2] and stages.idlest(began) is None
     for sock in (sock for pair in pairs for sock in pair):
         sock.close()
 
 
-def test_a_stop_answers_what_is_read_turns_away_what_is_not_whole_and_reads_nothing_more(clients):
-    """Killed 3.73 s after SIGTERM, a sender had just read a request: it was lost."""
+def test_a_stop_answers_complete_requests_rejects_partial_ones_and_reads_no_more(clients):
+    """A sender that was killed 3.73 s after SIGTERM had just read a request, which was lost."""
     clients.answer.clear()
     asking, _ = clients.connect()
     asking.sendall(REQUEST)
-    until(lambda: clients.handed)
-    half, reading = clients.connect()
-    half.sendall(REQUEST[:-3])
+    until(lambda: clients.hand_ins)
+    partial, reading = clients.connect()
+    partial.sendall(REQUEST[:-3])
     until(lambda: reading.stage is Stage.READING)
-    resting, _ = clients.connect()
+    idle, _ = clients.connect()
     stopping = threading.Thread(target=clients.client_side.stop, args=(timedelta(milliseconds=150),))
     stopping.start()
-    assert rest(resting) == b""  # seen before anything else is over
-    assert b"503 Service Unavailable" in rest(half)
+    assert read_to_end(idle) == b""  # closed before the other two are answered
+    assert b"503 Service Unavailable" in read_to_end(partial)
     clients.answer.set()
-    assert b"202 Accepted" in rest(asking)
-    for sock in (asking, half, resting):
+    assert b"202 Accepted" in read_to_end(asking)
+    for sock in (asking, partial, idle):
         sock.close()
     stopping.join(PATIENCE)
     until(lambda: not clients.client_side._clients)
-    assert len(clients.handed) == 1
+    assert len(clients.hand_ins) == 1
 
 
-def test_clients_are_let_go_before_the_kill_while_calls_go_on():
-    """Clients were served up to SIGKILL, which leaves no time for the last answers."""
+def test_clients_are_disconnected_before_the_kill_while_calls_go_on():
+    """Clients were served until SIGKILL, which left no time for the last answers."""
     host = Host()
     discovery = Discovery([host])
     sender = Sender(discovery).ready()
@@ -281,7 +286,7 @@
             sender.process.terminate()
             until(lambda: any("stop: SIGTERM" in line for line in sender.lines))
             assert sender.exchange(sender.message("status"), sock).status == 202
-            assert rest(sock) == b""
+            assert read_to_end(sock) == b""
         until(lambda: any("stop: clients are let go" in line for line in sender.lines))
         assert sender.process.poll() is None
         host.held.set()
@@ -293,25 +298,25 @@
         discovery.close()
 
 
-def test_an_id_that_the_journal_has_is_taken_on_before_the_start_is_done():
-    """Killed before its 202 was out, it came again on a new connection, was turned away as too early, and
-    came a third time under another id: two messages were owed for one."""
-    clock, known = Clock(), AcceptedMessage("a1", 7, "status", "acme", Clock().now() + SPAN)
+def test_a_repeat_of_a_recovered_message_is_accepted_before_the_start_is_complete():
+    """A sender was killed before it had written a 202. The repeated hand-in was rejected as too early, and
+    the client's next try came under another id, so that one message was delivered twice."""
+    clock, recovered = Clock(), AcceptedMessage("a1", 7, "status", "acme", Clock().now() + SPAN)
     decision_loop = DecisionLoop(
         config(),
         clock,
         Log(clock),
         None,
         SimpleNamespace(listed=lambda dest: False),
-        SimpleNamespace(discard=lambda taken: None),
+        SimpleNamespace(discard=lambda message: None),
         SharedLifecycle(),
     )
-    decision_loop._recovered = [Entry(known, 0)]
+    decision_loop._recovered = [Entry(recovered, 0)]
     answers = []
     for ref, more in (("a1", {}), ("a2", {}), ("a1", {"destination": 8})):
         pending = PendingReply()
-        taken = msgspec.structs.replace(known, ref=ref, **more)
-        decision_loop._process_item(HandIn(taken, pending), clock.now(), [], [], [])
+        message = msgspec.structs.replace(recovered, ref=ref, **more)
+        decision_loop._process_item(HandIn(message, pending), clock.now(), [], [], [])
         answers.append(pending.wait(SPAN, SPAN).verdict)
     assert answers == [Verdict.ACCEPTED, Verdict.REJECTED, Verdict.REJECTED]
 
@@ -319,41 +324,39 @@
 @pytest.mark.parametrize(
     ("message_class", "verdict"), [("fee", Verdict.FAILED), ("status", Verdict.REJECTED)]
 )
-def test_an_id_whose_attempt_is_still_out_is_not_turned_away_where_it_may_not_run_again(
-    message_class, verdict
-):
-    """Withdrawn while its attempt was out (its 202 could not be written), it came again on a new connection
-    and was answered 503: its client would have handed it in under another id, for a second run."""
+def test_a_repeat_during_a_relay_is_failed_and_not_rejected_if_it_must_not_run_again(message_class, verdict):
+    """A message was withdrawn during its relay, since its 202 could not be written. Its repeat was answered
+    503, after which the client would have handed it in under another id, for a second execution."""
     clock, lifecycle = Clock(), SharedLifecycle()
     lifecycle.tell(Event.LISTED, clock.now())
-    hosts, bodies = SimpleNamespace(listed=lambda dest: True), SimpleNamespace(discard=lambda taken: None)
+    hosts, bodies = SimpleNamespace(listed=lambda dest: True), SimpleNamespace(discard=lambda message: None)
     decision_loop = DecisionLoop(config(), clock, Log(clock), None, hosts, bodies, lifecycle)
     decision_loop._recovered = None
-    taken = AcceptedMessage("a1", 7, message_class, "acme", clock.now() + SPAN)
-    relay = Relay(taken, 0, 1, None, clock.now(), clock.now() + SPAN)
-    decision_loop._outstanding["a1"] = Delivery(taken, relay_count=1, active_relays={0: relay}, over=True)
+    message = AcceptedMessage("a1", 7, message_class, "acme", clock.now() + SPAN)
+    relay = Relay(message, 0, 1, None, clock.now(), clock.now() + SPAN)
+    decision_loop._outstanding["a1"] = Delivery(message, relay_count=1, active_relays={0: relay}, over=True)
     pending = PendingReply()
-    decision_loop._process_item(HandIn(taken, pending), clock.now(), [], [], [])
+    decision_loop._process_item(HandIn(message, pending), clock.now(), [], [], [])
     assert pending.wait(SPAN, SPAN).verdict is verdict
 
 
-class Gate(socket.socket):
-    """A socket that has something happen right before it connects."""
+class HookedSocket(socket.socket):
+    """A socket with a hook that runs right before it connects."""
 
     before = staticmethod(lambda: None)
 
     def connect(self, address):
-        Gate.before()
+        HookedSocket.before()
         super().connect(address)
 
 
-def test_a_move_of_discovery_right_before_a_connection_to_the_old_one_ends_that(monkeypatch):
-    """It had no connection to end yet: the watch went on at the old address for good."""
+def test_a_change_of_the_address_during_a_connect_ends_that_connection(monkeypatch):
+    """The change found no open connection to end, and the watch stayed at the old address for good."""
     old, new = Discovery(), Discovery()
     addresses = [("127.0.0.1", each.listener.getsockname()[1]) for each in (old, new)]
     platform, moved = Platform(addresses[0]), []
-    monkeypatch.setattr(registry.socket, "socket", Gate)
-    monkeypatch.setattr(Gate, "before", lambda: moved.append(platform.move(addresses[1])))
+    monkeypatch.setattr(registry.socket, "socket", HookedSocket)
+    monkeypatch.setattr(HookedSocket, "before", lambda: moved.append(platform.move(addresses[1])))
     with pytest.raises(ConnectionAbortedError):
         platform.connect()
     sock, name, moves = platform.connect()
@@ -363,8 +366,8 @@
     new.close()
 
 
-class Trickle(Discovery):
-    """Its first watch says one list, then half a line, byte by byte for as long as anybody reads."""
+class TricklingDiscovery(Discovery):
+    """Answers its first watch with one list, then with an endless partial line, byte by byte."""
 
     def answer(self, head, body, sock):
         if self.watched:
@@ -377,12 +380,12 @@
             threading.Event().wait(0.005)
 
 
-def test_a_watch_that_trickles_half_a_line_is_silent(monkeypatch):
-    """Each byte counted as a word: what the list had to tell was waited for without end."""
+def test_a_watch_that_trickles_a_partial_line_counts_as_silent(monkeypatch):
+    """Each byte counted as data, so that the rest of the update was awaited forever."""
     monkeypatch.setattr(registry, "SILENCE_TIMEOUT", timedelta(milliseconds=100))
-    discovery, clock, heard, ended = Trickle(), Clock(), [], []
-    where = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
-    watch = EndpointListWatcher(config(), where, Log(clock), clock, heard.append)
+    discovery, clock, updates, ended = TricklingDiscovery(), Clock(), [], []
+    platform = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
+    watch = EndpointListWatcher(config(), platform, Log(clock), clock, updates.append)
 
     def once():
         try:
@@ -392,12 +395,12 @@
 
     start("watch", once)
     assert isinstance(until(lambda: ended)[0], registry.SilentError)
-    assert (len(heard), watch.index) == (1, 1)
+    assert (len(updates), watch.index) == (1, 1)
     discovery.close()
 
 
-class Deaf(Discovery):
-    """Answers one notice on its first connection, and nothing there afterwards."""
+class DeafDiscovery(Discovery):
+    """Answers one notice on its first connection, and none there afterwards."""
 
     def answer(self, head, body, sock):
         if self.notices and sock is self.socks[0]:
@@ -405,75 +408,77 @@
         return super().answer(head, body, sock)
 
 
-def test_a_notice_on_a_connection_that_fell_silent_goes_by_another_one_at_once(monkeypatch):
-    """It waited a second for the answer, twice what a message may be late, before it was told again."""
+def test_a_notice_on_a_silent_connection_is_sent_again_on_another_at_once(monkeypatch):
+    """It waited a second for the answer before it was sent again: twice the time that a notice may be
+    late."""
     monkeypatch.setattr(registry, "MAX_NOTICE_TIMEOUT", 10 * SPAN)
-    discovery, clock, told = Deaf(), Clock(), []
-    where = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
-    notices = NoticeSender(where, Log(clock), told.extend)
+    discovery, clock, answered = DeafDiscovery(), Clock(), []
+    platform = Platform(("127.0.0.1", discovery.listener.getsockname()[1]))
+    notices = NoticeSender(platform, Log(clock), answered.extend)
     start("notices", notices.run)
     for ref in ("a", "b"):
         notices.post(Notice(ref, "given_up"))
-        until(lambda ref=ref: ref in told)
+        until(lambda ref=ref: ref in answered)
     assert discovery.connections == 2
     discovery.close()
 
 
-class Calls:
-    """The endpoint side alone, with a record that has something happen while it is written."""
+class CallRig:
+    """An endpoint side without a decision loop. `while_recording` runs while a relay's record is written."""
 
     def __init__(self):
         self.host, self.ended, clock = Host(), [], Clock()
         self.listed = registry.Host(1, "s-1", ("127.0.0.1", self.host.listener.getsockname()[1]), 7, True)
-        self.hosts, self.meanwhile = {1: self.listed}, lambda: None
-        bodies = SimpleNamespace(read=lambda taken: b"hello")
-        journal = SimpleNamespace(append=lambda records: self.meanwhile(), live={})
+        self.hosts, self.while_recording = {1: self.listed}, lambda: None
+        bodies = SimpleNamespace(read=lambda message: b"hello")
+        journal = SimpleNamespace(append=lambda records: self.while_recording(), live={})
         self.endpoint_side = EndpointSide(
             config(), clock, Log(clock), journal, bodies, self.hosts, self.ended.append, start
         )
         self.now = clock.now
 
-    def kept(self):
-        """Put a connection by; its other end."""
+    def open_idle(self):
+        """Give it an idle connection; the host's end and its own."""
         ours = socket.create_connection(self.listed.address)
         until(lambda: self.host.socks)
         self.endpoint_side.adopt({}, [(1, IdleConnection(ours, self.now()))])
         return self.host.socks[-1], ours
 
-    def make(self, **more):
+    def make_relay(self, **more):
+        """Make a relay; it and its outcome."""
         now = self.now()
-        taken = AcceptedMessage("a1", 7, "fee", "acme", now + SPAN)
+        message = AcceptedMessage("a1", 7, "fee", "acme", now + SPAN)
         begun_at = more.pop("begun_at", now)
-        relay = Relay(taken, 0, 1, self.listed, begun_at, now + SPAN, **more)
+        relay = Relay(message, 0, 1, self.listed, begun_at, now + SPAN, **more)
         self.endpoint_side.submit(relay)
         return relay, until(lambda: self.ended)[0].outcome
 
 
 @pytest.fixture
 def calls():
-    found = Calls()
-    yield found
-    found.host.close()
+    rig = CallRig()
+    yield rig
+    rig.host.close()
 
 
-MEANWHILE = {
+CHANGES = {
     "drained": lambda calls: calls.hosts.clear(),
-    "told to wait": lambda calls: calls.endpoint_side.wait(7, SPAN),
+    "waiting": lambda calls: calls.endpoint_side.wait(7, SPAN),
     "stopped": lambda calls: setattr(calls.endpoint_side, "stopping", True),
-    "called off": lambda calls: calls.endpoint_side.cancel_by_id("a1", 0),
+    "cancelled": lambda calls: calls.endpoint_side.cancel_by_id("a1", 0),
 }
 
 
-@pytest.mark.parametrize("what", MEANWHILE)
-def test_what_comes_while_an_attempt_is_put_on_record_holds_at_its_first_byte(calls, what):
-    """It was looked at before the record, whose write may take long."""
-    calls.meanwhile = lambda: MEANWHILE[what](calls)
-    _, outcome = calls.make(repeatable=False)
+@pytest.mark.parametrize("what", CHANGES)
+def test_a_change_while_a_relay_is_recorded_prevents_its_first_byte(calls, what):
+    """Such changes were checked only before the record was written, which may take long."""
+    calls.while_recording = lambda: CHANGES[what](calls)
+    _, outcome = calls.make_relay(repeatable=False)
     assert outcome is Outcome.NOT_SENT and not calls.host.calls
 
 
-def test_after_sigterm_an_unrepeatable_attempt_begins_only_as_decided(calls):
-    """Decided on before the stop was known, or begun much later, it would straddle the kill and be lost."""
+def test_after_sigterm_an_unrepeatable_relay_starts_only_if_decided_since_and_at_once(calls):
+    """One decided on before the stop, or started much later, could be cut off by the kill and be lost."""
     calls.endpoint_side.stopping = True
     table = [
         ({"repeatable": True}, Outcome.DELIVERED),
@@ -485,41 +490,43 @@
         ),
     ]
     for more, outcome in table:
-        assert calls.make(**more)[1] is outcome, more
+        assert calls.make_relay(**more)[1] is outcome, more
         calls.ended.clear()
 
 
-def test_a_connection_that_comes_up_late_does_not_outlast_the_window_for_repeats(calls):
-    """A repeat was decided on inside a window of 1 s and begun after it."""
+def test_a_repeat_is_not_sent_after_the_deduplication_window(calls):
+    """A repeat was decided on within a window of 1 s, and its connection was set up after it."""
     rules = config().rules["order"]  # keyed
     now = calls.now()
     table = [(rules.dedup_window_s - 0.5, Outcome.DELIVERED), (rules.dedup_window_s + 0.5, Outcome.NOT_SENT)]
     for ago, outcome in table:
-        taken = AcceptedMessage("a1", 7, "order", "acme", now + SPAN, rules=rules)
-        entry = Entry(taken, 0, started={0: RelayStarted("a1", 0, now - timedelta(seconds=ago), "s-1")})
+        message = AcceptedMessage("a1", 7, "order", "acme", now + SPAN, rules=rules)
+        entry = Entry(message, 0, started={0: RelayStarted("a1", 0, now - timedelta(seconds=ago), "s-1")})
         calls.endpoint_side.journal.live = {"a1": entry}
-        calls.endpoint_side.submit(Relay(taken, 1, 1, calls.listed, now, now + SPAN))
+        calls.endpoint_side.submit(Relay(message, 1, 1, calls.listed, now, now + SPAN))
         assert until(lambda: calls.ended).pop().outcome is outcome, ago
 
 
-def test_half_a_line_on_a_kept_connection_is_no_part_of_the_next_answer(calls):
-    """It came after the last look at the connection, and made the answer behind it garbled, or a 200."""
-    theirs, ours = calls.kept()
+def test_a_partial_line_on_an_idle_connection_is_no_part_of_the_next_answer(calls):
+    """It came after the last check of the connection and corrupted the next answer, or turned it into a
+    200."""
+    theirs, ours = calls.open_idle()
 
-    def half():
+    def send_partial_line():
         theirs.sendall(b"HTTP/1.1 200 O")
-        waiting(ours)
+        wait_unread(ours)
 
-    calls.meanwhile = half
-    _, outcome = calls.make(repeatable=False)
+    calls.while_recording = send_partial_line
+    _, outcome = calls.make_relay(repeatable=False)
     assert outcome is Outcome.NOT_SENT and not calls.host.calls
     calls.ended.clear()
-    calls.meanwhile = lambda: None
-    assert calls.make()[1] is Outcome.DELIVERED
+    calls.while_recording = lambda: None
+    assert calls.make_relay()[1] is Outcome.DELIVERED
 
 
-def test_a_new_connection_that_ends_before_the_first_byte_could_not_be_made(calls):
-    """Written to it, the call read as broken, and an unrepeatable message was lost by what never ran."""
+def test_a_new_connection_that_ends_before_the_first_byte_counts_as_unreachable(calls):
+    """The call was written to it and counted as broken, so that an unrepeatable message was given up although
+    it had never been executed."""
 
     def ended():
         sock = next(iter(calls.endpoint_side._relays.values())).sock
@@ -528,16 +535,16 @@
         except BlockingIOError:
             return False
 
-    def meanwhile():
+    def while_recording():
         until(lambda: calls.host.socks)[-1].shutdown(socket.SHUT_RDWR)
         until(ended)
 
-    calls.meanwhile = meanwhile
-    assert calls.make()[1] is Outcome.UNREACHABLE and not calls.host.calls
+    calls.while_recording = while_recording
+    assert calls.make_relay()[1] is Outcome.UNREACHABLE and not calls.host.calls
 
 
-def test_two_status_lines_run_into_one_are_no_answer():
-    """Half a line of before and the answer behind it read as one line with 200."""
+def test_two_status_lines_joined_into_one_are_no_answer():
+    """A partial line and the answer after it were read as one status line with 200."""
     lines = (b"HTTP/1.1 200 OHTTP/1.1 503 Busy", b"HTTP/1.1 200 HTTP/1.1 500 x", b"HTTP/1.1 2HTTP/1.1 200 OK")
     for line in lines:
         parser = http.Parser(answer=True)
@@ -547,21 +554,21 @@
         assert parser.status == 0
 
 
-def test_the_last_answers_are_given_before_a_sender_may_be_killed():
-    """What is read of a client last has the time to be decided on and answered."""
+def test_the_last_answers_are_written_before_a_sender_may_be_killed():
+    """The request that is read last still has time to be decided on and answered."""
     from willownotch import cli
     from willownotch.net.decision_loop import KILL_AFTER
 
     assert cli.CLIENT_STOP_DELAY + cli.CLIENT_STOP_GRACE + client_side.DECISION_TIMEOUT < KILL_AFTER
 
 
-def test_a_connection_that_goes_to_another_process_is_not_closed_here_meanwhile(calls):
-    """Kept connections go to the other process by their descriptors' numbers. One that was closed here
-    between the look and the send ended the hand-over, or its number was another connection's by then."""
-    theirs, ours = calls.kept()
+def test_an_idle_connection_lent_to_another_process_is_not_closed_here_meanwhile(calls):
+    """Idle connections are passed to the other process by their descriptors. One that was closed here before
+    it was sent failed the hand-over, or its descriptor already belonged to another connection."""
+    theirs, ours = calls.open_idle()
     [(number, lent)] = calls.endpoint_side.lend(5)
-    theirs.close()  # nothing here looks at it any more: a call goes on a connection of its own
-    assert calls.endpoint_side.lend(5) == [] and calls.make()[1] is Outcome.DELIVERED
+    theirs.close()  # not noticed here: the next call opens its own connection
+    assert calls.endpoint_side.lend(5) == [] and calls.make_relay()[1] is Outcome.DELIVERED
     assert (number, lent.sock.fileno()) == (1, ours.fileno()) and ours.fileno() != -1
     calls.endpoint_side.adopt({}, [(number, lent)])
     until(lambda: len(calls.endpoint_side.lend(5)) == 2)
@@ -574,25 +581,24 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.EHOSTUNREACH, errno.ETIMEDOUT])
-def test_a_look_at_a_connection_that_fails_for_a_moment_says_nothing_of_its_endpoint(number):
-    """Before a call's first byte a connection is looked at once more. Where that look failed, for want of
-    memory or with an error that the kernel reports once, a new connection counted as one that could not be
-    made: two in a row were an outage ("judged failing (unreachable), last answer 0.0 s ago"), and beside a
-    sound endpoint 43 to 108 of 150 messages were accepted."""
+def test_a_transient_error_in_a_check_of_a_connection_is_retried(number):
+    """A connection is checked right before a call's first byte. If that failed for lack of memory, or with an
+    error that the kernel reports once, a new connection counted as unreachable. Two in a row were judged an
+    outage, and only 43 to 108 of 150 messages for a healthy endpoint were accepted."""
     failures = [OSError(number, "for a moment"), BlockingIOError()]
 
     def receive(size, flags):
         raise failures.pop(0)
 
-    looked_at = SimpleNamespace(setblocking=lambda blocks: None, recv=receive)
-    assert EndpointSide._is_quiet(looked_at) and failures == []
+    checked = SimpleNamespace(setblocking=lambda blocks: None, recv=receive)
+    assert EndpointSide._is_quiet(checked) and failures == []
     failures += [ConnectionResetError(errno.ECONNRESET, "reset")]
-    assert not EndpointSide._is_quiet(looked_at)
+    assert not EndpointSide._is_quiet(checked)
 
 
-def test_a_look_that_finds_nothing_at_first_is_made_again_whatever_fails_for_a_moment():
-    """A sender ended: "OSError: [Errno 12] Cannot allocate memory" in the second look of a poll that waits
-    for nothing (soak, seed 35). The first was made again where it failed for a moment, the second was not."""
+def test_a_transient_error_in_the_second_poll_is_retried_too():
+    """A sender ended with "OSError: [Errno 12] Cannot allocate memory" (soak, seed 35). `sockets.wait` polls
+    twice for what is readable at once, and only the first poll was retried after a transient error."""
     found = [[], OSError(errno.ENOMEM, "no memory"), [(3, 1)]]
 
     def look(timeout):
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -1,10 +1,10 @@
-"""What the journal says of records that it could not write: surely not there, or perhaps there.
+"""After a failed write the journal tells whether its records are certainly absent or may be in the file.
 
-A client was answered 503, that its message had not been accepted, and the next process sent the message. A
-round's records are one write. Where the disk took a part of it, the first records of the round were whole in
-the file; where cutting them off failed, too (EIO for a moment), they stayed there until the next write, and a
-process killed before that left them to the next one, which found them owed. The clients of the round had
-their 503 by then. Replay of the file showed it: the record of a message that `append` had raised for.
+A client was answered 503, not accepted, and the next process delivered its message all the same. The records
+of a round are written together. After a partial write the first of them were complete in the file, and if
+truncating them failed, too (a transient EIO), they stayed there until the next write. A process that was
+killed before that left them to the next one, which found the messages outstanding, while their clients had
+got their 503.
 """
 
 from datetime import timedelta
@@ -25,13 +25,13 @@
 from willownotch.net.log import Log
 from willownotch.net.pending import PendingReply
 
-SHORT = Fault(Kind.SHORT, "append", NAME)
-NO_CUT = Fault(Kind.IO_ERROR, "truncate", NAME)
-NO_NEW = Fault(Kind.IO_ERROR, "create", NEW_NAME)
+SHORT_WRITE = Fault(Kind.SHORT, "append", NAME)
+NO_TRUNCATE = Fault(Kind.IO_ERROR, "truncate", NAME)
+NO_REWRITE = Fault(Kind.IO_ERROR, "create", NEW_NAME)
 
 
-def opened(folder, faults):
-    """A journal whose disk is sound until something is in `faults`."""
+def open_journal(folder, faults):
+    """An open journal on a disk that works until there is something in `faults`."""
     journal = Journal(folder, Space(1 << 20), Faulty(lambda: faults))
     journal.open()
     return journal
@@ -42,40 +42,40 @@
     return [AcceptedMessage(ref, 7, "fee", "acme", ends_at) for ref in refs]
 
 
-def found(folder):
-    """What the next process finds owed."""
+def recovered(folder):
+    """The ids of the messages that the next process finds outstanding."""
     return list(replay(REAL.read_whole(folder / NAME))[0])
 
 
-@pytest.mark.parametrize("also", [[], [NO_CUT], [NO_NEW]])
-def test_what_was_written_in_part_is_not_found_by_the_next_process(tmp_path, also):
+@pytest.mark.parametrize("more", [[], [NO_TRUNCATE], [NO_REWRITE]])
+def test_a_partial_write_is_not_found_by_the_next_process(tmp_path, more):
     faults = []
-    journal = opened(tmp_path, faults)
+    journal = open_journal(tmp_path, faults)
     journal.append(messages("a"))
-    faults += [SHORT, *also]
+    faults += [SHORT_WRITE, *more]
     with pytest.raises(OSError) as raised:
         journal.append(messages("b", "c", "d", "e"))
     assert not isinstance(raised.value, JournalUncertainError)
-    assert found(tmp_path) == ["a"]
+    assert recovered(tmp_path) == ["a"]
 
 
-def test_where_it_can_neither_be_cut_off_nor_written_anew_that_is_said(tmp_path):
+def test_a_partial_write_that_can_neither_be_truncated_nor_rewritten_is_reported(tmp_path):
     faults = []
-    journal = opened(tmp_path, faults)
+    journal = open_journal(tmp_path, faults)
     journal.append(messages("a"))
-    faults += [SHORT, NO_CUT, NO_NEW]
+    faults += [SHORT_WRITE, NO_TRUNCATE, NO_REWRITE]
     with pytest.raises(JournalUncertainError):
         journal.append(messages("b", "c", "d", "e"))
-    assert found(tmp_path) == ["a", "b", "c"]  # so nobody may be told that they are not accepted
+    assert recovered(tmp_path) == ["a", "b", "c"]  # so nobody may be told that they are not accepted
     faults.clear()
     journal.append(messages("f"))
-    assert found(tmp_path) == ["a", "f"]
+    assert recovered(tmp_path) == ["a", "f"]
 
 
-def test_a_write_that_took_nothing_leaves_no_doubt(tmp_path):
+def test_a_write_that_wrote_nothing_is_certain(tmp_path):
     faults = []
-    journal = opened(tmp_path, faults)
-    faults += [Fault(Kind.IO_ERROR, "append", NAME), NO_CUT, NO_NEW]
+    journal = open_journal(tmp_path, faults)
+    faults += [Fault(Kind.IO_ERROR, "append", NAME), NO_TRUNCATE, NO_REWRITE]
     with pytest.raises(OSError) as raised:
         journal.append(messages("a"))
     assert not isinstance(raised.value, JournalUncertainError)
@@ -83,19 +83,19 @@
 
 @pytest.mark.parametrize(
     ("faults", "verdict"),
-    [([SHORT], Verdict.REJECTED), ([SHORT, NO_CUT, NO_NEW], Verdict.FAILED)],
+    [([SHORT_WRITE], Verdict.REJECTED), ([SHORT_WRITE, NO_TRUNCATE, NO_REWRITE], Verdict.FAILED)],
 )
-def test_a_client_is_told_503_only_where_its_message_is_surely_not_on_record(tmp_path, faults, verdict):
-    lifecycle, clock, striking = SharedLifecycle(), Clock(), []
+def test_a_client_gets_503_only_if_its_message_is_certainly_not_recorded(tmp_path, faults, verdict):
+    lifecycle, clock, active = SharedLifecycle(), Clock(), []
     lifecycle.tell(Event.LISTED, clock.now())
     hosts = SimpleNamespace(listed=lambda dest: True, by_number={})
-    bodies = SimpleNamespace(discard=lambda taken: None)
-    journal = opened(tmp_path, striking)
+    bodies = SimpleNamespace(discard=lambda message: None)
+    journal = open_journal(tmp_path, active)
     decision_loop = DecisionLoop(config(), clock, Log(clock), journal, hosts, bodies, lifecycle)
     decision_loop._recovered = None
-    striking += faults
-    items = [HandIn(taken, PendingReply()) for taken in messages("a", "b", "c", "d")]
+    active += faults
+    items = [HandIn(message, PendingReply()) for message in messages("a", "b", "c", "d")]
     decision_loop._round(items)
     answers = {item.message.ref: item.pending.wait(SPAN, SPAN).verdict for item in items}
     assert set(answers.values()) == {verdict}
-    assert [ref for ref in found(tmp_path) if answers[ref] is Verdict.REJECTED] == []
+    assert [ref for ref in recovered(tmp_path) if answers[ref] is Verdict.REJECTED] == []
