--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Settings that change in service: files sound and broken, and rules that stay with each message."""
+"""Reloading settings: valid and invalid files, and the rules that stay with each message."""
 
 import copy
 import json
@@ -12,15 +12,16 @@
 
 
 def changed(path, value=None, settings=SETTINGS):
-    """A copy of the settings with the value at a path of keys replaced, or taken out without one."""
-    found = here = copy.deepcopy(settings)
+    """A copy of the settings with the value at a path of keys replaced; without a value, the key is
+    removed."""
+    copied = inner = copy.deepcopy(settings)
     for key in path[:-1]:
-        here = here[key]
+        inner = inner[key]
     if value is None:
-        del here[path[-1]]
+        del inner[path[-1]]
     else:
-        here[path[-1]] = value
-    return found
+        inner[path[-1]] = value
+    return copied
 
 
 def text(settings=SETTINGS, **more):
@@ -36,10 +37,10 @@
     ).encode()
 
 
-class Files(unittest.TestCase):
-    old = read_config(text(), {})
+class SettingsFiles(unittest.TestCase):
+    current = read_config(text(), {})
 
-    def test_each_broken_file_is_told_in_one_line(self):
+    def test_each_invalid_file_is_reported_in_one_line(self):
         status = dict(SETTINGS["services"][1])
         table = [
             (b"", "cannot be read"),
@@ -51,19 +52,19 @@
             (text(changed(["policyLimits", "maxAttempts"], 0)), "attempts for a message"),
             (text(changed(["policyLimits", "maxAttempts"])), "maxAttempts"),
             (text(changed(["services", 2, "idempotency"])), "idempotency"),
-            (text(changed(["callers"])), "short of 'settings.callers'"),  # has a default, and is missed
+            (text(changed(["callers"])), "short of 'settings.callers'"),  # required although it has a default
             (text(changed(["rules", "keyQuietS"])), "short of 'settings.rules.keyQuietS'"),
             (text(limits={}), "short of 'limits.sockets'"),
             (text(changed(["services"], [])), "short of 'settings.services.credit'"),
             (text(changed(["services"], [*SETTINGS["services"], status])), "class 'status' twice"),
         ]
-        for broken, said in table:
-            with self.subTest(said=said), self.assertRaises(ConfigError) as caught:
-                read_config(broken, {}, self.old)
-            self.assertIn(said, str(caught.exception))
+        for invalid, reason in table:
+            with self.subTest(reason=reason), self.assertRaises(ConfigError) as caught:
+                read_config(invalid, {}, self.current)
+            self.assertIn(reason, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
 
-    def test_what_can_hold_in_service_does_and_the_rest_is_named(self):
+    def test_reloadable_settings_apply_and_the_others_are_named(self):
         fresh = read_config(
             text(
                 changed(["policyLimits", "maxAttempts"], 3),
@@ -71,27 +72,29 @@
                 limits={"sockets": 256, "disk_mb": 1},
             ),
             {},
-            self.old,
+            self.current,
         )
-        now, later = retuned(self.old, fresh)
-        self.assertEqual(later, ["listen", "disk_mb"])
-        self.assertEqual((now.listen, now.limits.sockets, now.limits.disk_mb), (self.old.listen, 256, 3.0))
-        self.assertEqual({rules.attempts for rules in now.rules.values()}, {3})
+        applied, deferred = retuned(self.current, fresh)
+        self.assertEqual(deferred, ["listen", "disk_mb"])
+        self.assertEqual(
+            (applied.listen, applied.limits.sockets, applied.limits.disk_mb), (self.current.listen, 256, 3.0)
+        )
+        self.assertEqual({rules.attempts for rules in applied.rules.values()}, {3})
 
-    def test_rules_come_back_as_the_class_they_were(self):
+    def test_rules_convert_back_to_their_class(self):
         cls = MessageClass(
             "a", 3.0, 2.0, 12.0, 0.3, Idempotency.KEYED, DedupScope.ZONE, 5.0, True, 1.0, attempts=7
         )
         self.assertEqual(class_of("a", rules_of(cls, 7)), cls)
 
 
-class Service(unittest.TestCase):
+class Reload(unittest.TestCase):
     def setUp(self):
         self.host = Host()
         self.discovery = Discovery([self.host])
         self.sender = Sender(self.discovery)
-        for thing in (self.host, self.discovery, self.sender):
-            self.addCleanup(thing.close)
+        for resource in (self.host, self.discovery, self.sender):
+            self.addCleanup(resource.close)
         self.sender.ready()
 
     def apply_settings(self, settings):
@@ -99,8 +102,8 @@
         self.sender.reload({"settings": settings}, "discovery stays")
         until(lambda: any("retune: new settings hold" in line for line in self.sender.lines[before:]))
 
-    def test_open_messages_keep_their_rules_also_over_a_restart(self):
-        """'status' is dropped and comes back as one that must not be repeated; attempts are cut to one."""
+    def test_outstanding_messages_keep_their_rules_even_after_a_restart(self):
+        """The class 'status' is removed and returns as unrepeatable, and attempts are limited to one."""
         self.host.held.clear()
         ref, _ = self.sender.hand_in("status")
         until(lambda: self.host.refs() == [ref])
@@ -110,10 +113,10 @@
         settings = changed(["policyLimits", "maxAttempts"], 1, settings)
         self.apply_settings(settings)
         self.assertEqual(self.sender.hand_in("news")[1].status, 202)
-        until(lambda: self.sender.hand_in("status", dest=99)[1].status == 400)  # 503 while it is taken
+        until(lambda: self.sender.hand_in("status", dest=99)[1].status == 400)  # 503 while its class is known
         settings["services"].append(unsafe)
         self.apply_settings(settings)
-        self.sender.restart()  # its call was out: under the new rules it could only be given up
+        self.sender.restart()  # during its call: under the new rules it would be given up
         for _ in range(2):
             self.host.script.put((503, ()))
         self.host.held.set()
@@ -125,17 +128,17 @@
         fresh, _ = self.sender.hand_in("status")
         until(lambda: fresh in self.host.refs())
         self.sender.settled()
-        self.host.script.put(None)  # may have run: the new rules allow no second call
+        self.host.script.put(None)  # may have been executed: the new rules allow no second call
         last, _ = self.sender.hand_in("status")
         until(lambda: [n for n in self.discovery.notices if n["message"] == last])
         self.assertEqual(self.host.refs().count(last), 1)
 
-    def test_a_broken_file_changes_neither_classes_nor_discovery(self):
+    def test_an_invalid_file_changes_neither_classes_nor_discovery(self):
         elsewhere = Discovery([self.host])
         self.addCleanup(elsewhere.close)
         renamed = [{**c, "name": c["name"] + "-x"} for c in SETTINGS["services"]]
-        broken = changed(["services"], [*renamed[:2], {**renamed[2], "hardLimitS": -5}])
-        self.sender.reload({"settings": broken, "discovery": elsewhere.address}, "the old settings stay")
+        invalid = changed(["services"], [*renamed[:2], {**renamed[2], "hardLimitS": -5}])
+        self.sender.reload({"settings": invalid, "discovery": elsewhere.address}, "the old settings stay")
         self.assertEqual(self.sender.hand_in("status")[1].status, 202)
         self.assertEqual(self.sender.hand_in("status-x")[1].status, 400)
         self.assertEqual(elsewhere.watched, [])
