--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for everything that reads bytes or text: HTTP, the journal, the configuration, the list."""
+"""Table-driven tests of all that parses bytes or text: HTTP, the journal, the configuration, the list."""
 
 import json
 import queue
@@ -47,8 +47,9 @@
 ENDS = datetime(2026, 12, 1, 12, 0, tzinfo=UTC)
 
 
-def parsed(data, answer=False, size=None):
-    """All messages in the bytes, fed whole or in pieces, the end of the connection last."""
+def parse_all(data, answer=False, size=None):
+    """All HTTP messages in the data, fed at once or in pieces of `size`, and then the end of the
+    connection."""
     parser, out = http.Parser(answer), []
     for at in range(0, len(data), size or len(data)):
         parser.feed(data[at : at + (size or len(data))])
@@ -62,7 +63,7 @@
 
 
 class Http(unittest.TestCase):
-    def test_whole_messages_however_they_are_cut(self):
+    def test_messages_are_parsed_however_they_are_split(self):
         table = [
             (b"GET /a HTTP/1.1\r\n\r\n", False, [b""]),
             (b"\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\n", False, [b""]),
@@ -82,9 +83,9 @@
         for data, answer, bodies in table:
             for size in (1, 2, 7, None):
                 with self.subTest(data=data, size=size):
-                    self.assertEqual([body for _, body in parsed(data, answer, size)], bodies)
+                    self.assertEqual([body for _, body in parse_all(data, answer, size)], bodies)
 
-    def test_what_loses_framing_is_refused(self):
+    def test_ambiguous_or_broken_framing_is_rejected(self):
         post = b"POST / HTTP/1.1\r\n"
         table = [
             (b"GET  / HTTP/1.1\r\n\r\n", 400),
@@ -112,29 +113,29 @@
         ]
         for data, status in table:
             with self.subTest(data=data[:70]), self.assertRaises(http.BadMessageError) as caught:
-                parsed(data)
+                parse_all(data)
             self.assertEqual(caught.exception.status, status, data[:70])
 
-    def test_an_optional_header_that_cannot_be_read_is_left_out(self):
+    def test_an_invalid_optional_header_is_ignored(self):
         data = b"HTTP/1.1 503 No\r\nServer-Load: \x01\r\nContent-Length: 0\r\n\r\n"
         parser = http.Parser(answer=True, optional=(b"server-load",))
         parser.feed(data)
         self.assertEqual(list(parser.next()[0].headers), ["content-length"])
         with self.assertRaises(http.BadMessageError):
-            parsed(data, answer=True)
+            parse_all(data, answer=True)
 
-    def test_keeping_a_connection(self):
-        for minor, said, keeps in [
+    def test_keep_alive(self):
+        for minor, value, keeps in [
             (1, "", True),
             (1, "Close", False),
             (1, "x, close", False),
             (0, "", False),
             (0, "keep-alive", True),
         ]:
-            head = http.Head(minor, headers={"connection": said})
-            self.assertEqual(head.keeps_alive(), keeps, (minor, said))
+            head = http.Head(minor, headers={"connection": value})
+            self.assertEqual(head.keeps_alive(), keeps, (minor, value))
 
-    def test_a_first_line_is_known_before_the_rest(self):
+    def test_the_status_is_known_before_the_rest(self):
         parser = http.Parser(answer=True)
         parser.feed(b"HTTP/1.1 200 OK\r\nServer-")
         self.assertIsNone(parser.next())
@@ -146,8 +147,8 @@
                 http.write_answer(200, [("A", value)])
 
 
-class SouthSide(unittest.TestCase):
-    def test_each_row_of_the_table_of_outcomes(self):
+class EndpointAnswers(unittest.TestCase):
+    def test_each_status_and_its_outcome(self):
         table = [
             (200, {}, Outcome.DELIVERED, True, False, 0),
             (500, {}, Outcome.ERROR, False, False, 0),
@@ -163,8 +164,8 @@
             found = (ended.outcome, ended.over, ended.no_slot, ended.wait.total_seconds())
             self.assertEqual(found, (outcome, over, no_slot, wait), status)
 
-    def test_a_200_that_is_read_after_the_messages_time_is_no_delivery(self):
-        """A sender short of CPU read one late, ended nothing, and sent the next of the key."""
+    def test_a_200_that_is_read_after_the_deadline_is_no_delivery(self):
+        """A sender short of CPU read one late, recorded no outcome, and sent the key's next message."""
         clock = Hand()
         config = configs.read_config(
             json.dumps(
@@ -184,7 +185,7 @@
             ended = endpoint_side._check_deadline(read_outcome(relay, status, {}))
             self.assertEqual((ended.outcome, ended.over), (outcome, outcome is Outcome.DELIVERED), early)
 
-    def test_reports_and_waits(self):
+    def test_load_reports_and_retry_after(self):
         for text, found in [
             ("x0=0.4,x1=25", (0.4, 25.0)),
             ("x1=3", (None, 3.0)),
@@ -206,7 +207,7 @@
             self.assertEqual(parse_retry_after(text).total_seconds(), span, text)
 
 
-class NorthSide(unittest.TestCase):
+class ClientRequests(unittest.TestCase):
     good = {
         "request-id": "a1",
         "request-class": "fee",
@@ -232,9 +233,11 @@
             ("a1", 7, "k k", True, "i"),
         )
         self.assertEqual(accepted.ends_at - ENDS, timedelta(milliseconds=480))
-        self.assertIsNone(self.read(**{"request-class": "status"}).key)  # only classes in order have one
+        self.assertIsNone(
+            self.read(**{"request-class": "status"}).key
+        )  # only classes delivered in order have keys
 
-    def test_what_is_no_message_is_refused(self):
+    def test_an_invalid_request_is_rejected(self):
         for change in [
             {"request-id": None},
             {"request-id": "a b"},
@@ -250,19 +253,19 @@
             with self.subTest(change), self.assertRaises(RefusedError):
                 self.read(**change)
 
-    def test_a_pending_reply_is_settled_by_one_side_only(self):
-        """A message whose client was turned away must not be taken on afterwards, nor the reverse."""
-        left, accepted = PendingReply(), PendingReply()
-        self.assertIsNone(left.wait(timedelta(0), timedelta(0)))
-        self.assertFalse(left.claim())
-        self.assertTrue(accepted.claim())
-        accepted.settle(Answer(Verdict.ACCEPTED))
-        self.assertEqual(accepted.wait(timedelta(0), timedelta(0)).verdict, Verdict.ACCEPTED)
+    def test_a_pending_reply_is_either_claimed_or_abandoned(self):
+        """A message whose client was rejected must not be accepted afterwards, nor the reverse."""
+        abandoned, claimed = PendingReply(), PendingReply()
+        self.assertIsNone(abandoned.wait(timedelta(0), timedelta(0)))
+        self.assertFalse(abandoned.claim())
+        self.assertTrue(claimed.claim())
+        claimed.settle(Answer(Verdict.ACCEPTED))
+        self.assertEqual(claimed.wait(timedelta(0), timedelta(0)).verdict, Verdict.ACCEPTED)
 
 
 class Configuration(unittest.TestCase):
     def test_both_readers_of_settings_agree(self):
-        """The simulator's and the real sender's settings are one object: they must be read alike."""
+        """The simulator and the real sender must read the same settings into equal objects."""
         files = [json.loads((ROOT / "examples" / name).read_text()) for name in ("config.json", "rooms.json")]
         for settings in (SETTINGS, *(file["settings"] for file in files)):
             text = json.dumps(settings).encode()
@@ -275,25 +278,25 @@
             with self.assertRaises(configs.ConfigError, msg=text):
                 configs.read_address(text, "x")
 
-    def test_lists_of_a_watch_however_they_are_cut_and_indented(self):
-        """A list over several lines was nonsense line by line: no watch ever gave one."""
+    def test_lists_of_a_watch_however_they_are_split_and_indented(self):
+        """A list over several lines was parsed line by line, so that no watch ever delivered one."""
         entry = {"name": "s-\u00e4", "address": "127.0.0.1:1", "group": 1, "status": "Ready"}
         lists = [{"index": n, "snapshot": True, "endpoints": [entry] * n} for n in range(4)]
         texts = [json.dumps(each, indent=n) for each, n in zip(lists, (None, 2, 4, None), strict=True)]
         data = ("\r\n\n".join(texts) + "\n{").encode()
         for size in (1, 3, 50, 5000):
-            news, out = WatchDecoder(), []
+            decoder, out = WatchDecoder(), []
             for at in range(0, len(data), size):
-                out += news.feed(data[at : at + size])[0]
+                out += decoder.feed(data[at : at + size])[0]
             self.assertEqual([(each.index, len(each.endpoints)) for each in out], [(n, n) for n in range(4)])
 
-    def test_what_is_no_list_breaks_a_watch_off_at_once(self):
+    def test_invalid_data_ends_a_watch_at_once(self):
         for data in (b"{nonsense\n", b"[1]\n", b"}\n", b'{"index":1,\n\n', b'{"index":1,\n"x":}\n'):
             with self.assertRaises((msgspec.DecodeError, http.BadMessageError), msg=data):
                 WatchDecoder().feed(data)
-        news = WatchDecoder()
-        self.assertEqual(news.feed(b"\n"), ([], True))
-        self.assertEqual(news.feed(b'{"index"'), ([], False))  # a part of a line is no sign of life
+        decoder = WatchDecoder()
+        self.assertEqual(decoder.feed(b"\n"), ([], True))
+        self.assertEqual(decoder.feed(b'{"index"'), ([], False))  # a partial line does not count as data
 
 
 def accepted(ref, body=b"b", key="k"):
@@ -307,16 +310,16 @@
         self.folder = Path(folder.name)
 
     def open(self, size=100_000):
-        made = Journal(self.folder, Space(size))
-        made.open()
-        self.addCleanup(made.close)
-        return made
+        journal = Journal(self.folder, Space(size))
+        journal.open()
+        self.addCleanup(journal.close)
+        return journal
 
     def on_disk(self):
         return sum(round_to_blocks(f.stat().st_size) for f in self.folder.iterdir())
 
     def test_replay(self):
-        """Deadline, count, marks and order come back; a relay open at the end may have run."""
+        """Deadlines, relays and order are restored; a relay that was in progress may have been executed."""
         large = b"l" * 5000
         self.open().append(
             [
@@ -336,7 +339,7 @@
                 NoticeAnswered("e"),
             ]
         )
-        for _ in range(2):  # as written, and as written anew
+        for _ in range(2):  # as appended, and as rewritten
             live = self.open().live
             self.assertEqual(list(live), ["a", "b", "d"])
             marks = [live["a"].may_have_run(n) for n in range(live["a"].count())]
@@ -345,7 +348,7 @@
             self.assertEqual((live["d"].ended.retry_in_ms, live["d"].message.body), (500, b""))
             self.assertEqual(live["a"].message.ends_at, ENDS)
 
-    def test_a_torn_tail_at_any_byte_costs_the_last_record_only(self):
+    def test_a_torn_tail_loses_only_the_last_record(self):
         self.open().append([accepted("a"), accepted("b")])
         path = self.folder / "journal"
         data = path.read_bytes()
@@ -354,37 +357,37 @@
             path.write_bytes(data[:cut])
             self.assertEqual(list(self.open().live), ["a"], cut)
 
-    def test_damage_in_the_middle_costs_what_is_damaged(self):
+    def test_damage_in_the_middle_loses_only_the_damaged_record(self):
         self.open().append([accepted("a"), accepted("b"), accepted("c")])
         path = self.folder / "journal"
         data = bytearray(path.read_bytes())
         data[data.index(records.MAGIC, 1) + 20] ^= 1
         path.write_bytes(data)
-        made = self.open()
-        self.assertEqual((list(made.live), len(made.faults)), (["a", "c"], 1))
+        journal = self.open()
+        self.assertEqual((list(journal.live), len(journal.faults)), (["a", "c"], 1))
 
-    def test_left_over_files_go(self):
+    def test_leftover_files_are_removed(self):
         (self.folder / "journal.new").write_bytes(b"x")
         self.open()
         self.assertEqual([f.name for f in self.folder.iterdir()], ["journal"])
 
-    def test_the_folder_never_outgrows_its_limit(self):
-        """Old and new file stand side by side while it is written anew; bodies may exceed the disk."""
-        made, open_refs = self.open(), []
+    def test_the_folder_never_exceeds_its_limit(self):
+        """Old and new file exist together during a rewrite, and the bodies offered may exceed the limit."""
+        journal, open_refs = self.open(), []
         for n in range(600):
             message = accepted(f"m{n}", b"z" * (n * 37 % 2000))
-            if made.fits([message]):
-                made.append([message, RelayStarted(message.ref, 0, ENDS, "s")])
+            if journal.fits([message]):
+                journal.append([message, RelayStarted(message.ref, 0, ENDS, "s")])
                 open_refs.append(message.ref)
             else:
-                made.append([MessageEnded(open_refs.pop(0), "delivered")])
-            new = sum(len(records.frame(r)) for entry in made.live.values() for r in entry.records())
+                journal.append([MessageEnded(open_refs.pop(0), "delivered")])
+            new = sum(len(records.frame(r)) for entry in journal.live.values() for r in entry.records())
             self.assertLessEqual(self.on_disk() + round_to_blocks(new), 100_000)
         self.assertGreater(len(open_refs), 5)
         self.assertEqual(list(self.open().live), open_refs)
 
     def test_the_reserve_covers_all_records_of_a_message(self):
-        """Room promised to a message must hold its whole story, or its end could not be written."""
+        """If the space reserved for a message is too small, its final outcome cannot be recorded."""
         for length in (1, 16, 128):
             message = AcceptedMessage("r" * length, 7, "fee", "acme", ENDS, "k" * 200, "i" * 100)
             ref = message.ref
@@ -399,14 +402,14 @@
                 self.assertLessEqual(size, room + n * records.relay_record_bytes(ref), (length, n))
 
     def test_as_many_messages_fit_as_a_sender_holds_on_its_busiest_day(self):
-        """Room kept for twelve relays of each turned usual clients away at half of the holding room."""
-        made = self.open(3_000_000)
+        """Reserving space for twelve relays each had clients rejected at half of the limit of messages."""
+        journal = self.open(3_000_000)
         for n in range(980):
             message = AcceptedMessage(
                 f"{n:016x}", 7, "slot-order", "erongo-haulage", ENDS, "k" * 16, "i" * 32, body=b"z" * 500
             )
-            self.assertTrue(made.fits([message]), n)
-            made.append(
+            self.assertTrue(journal.fits([message]), n)
+            journal.append(
                 [
                     message,
                     RelayStarted(message.ref, 0, ENDS, "s-5be2a07c"),
@@ -415,39 +418,39 @@
             )
         self.assertEqual(self.open(3_000_000).live[f"{0:016x}"].count(), 1)
 
-    def test_relays_leave_room_for_the_ends_of_messages(self):
-        """A disk filled up by relays could not record what they came to."""
-        made, count = self.open(20_000), 0
-        while made.fits([accepted(f"m{count}")]):
-            made.append([accepted(f"m{count}")])
+    def test_relays_leave_space_for_final_outcomes(self):
+        """On a disk that was filled by relays, their outcomes could not be recorded."""
+        journal, count = self.open(20_000), 0
+        while journal.fits([accepted(f"m{count}")]):
+            journal.append([accepted(f"m{count}")])
             count += 1
         with self.assertRaises(JournalFullError):
             for n in range(count * 12):
-                made.append([RelayStarted(f"m{n % count}", n // count, ENDS, "s-5be2a07c")])
-        made.append([MessageEnded(f"m{n}", "handed_back", 2000) for n in range(count)])
-        made.append([NoticeAnswered(f"m{n}") for n in range(count)])
+                journal.append([RelayStarted(f"m{n % count}", n // count, ENDS, "s-5be2a07c")])
+        journal.append([MessageEnded(f"m{n}", "handed_back", 2000) for n in range(count)])
+        journal.append([NoticeAnswered(f"m{n}") for n in range(count)])
         self.assertEqual((count > 5, self.open(20_000).live), (True, {}))
 
-    def test_messages_of_one_round_are_counted_together(self):
-        """Each of many in one round fitted alone, and together they would have overrun the disk."""
-        made, together = self.open(), []
-        while made.fits([*together, accepted(f"m{len(together)}", b"z" * 3000)]):
+    def test_the_messages_of_a_round_must_fit_together(self):
+        """Each message of a round fitted on its own, but together they would have exceeded the limit."""
+        journal, together = self.open(), []
+        while journal.fits([*together, accepted(f"m{len(together)}", b"z" * 3000)]):
             together.append(accepted(f"m{len(together)}", b"z" * 3000))
-        made.append(together)
+        journal.append(together)
         self.assertTrue(3 < len(together) < 16)
         self.assertLessEqual(self.on_disk(), 100_000)
 
-    def test_a_record_that_cannot_fit_is_refused_and_the_rest_stands(self):
-        made = self.open(20_000)
+    def test_a_record_that_does_not_fit_is_refused_and_the_journal_stays_intact(self):
+        journal = self.open(20_000)
         with self.assertRaises(JournalFullError):
-            made.append([accepted(f"m{n}", b"z" * 2000) for n in range(20)])
+            journal.append([accepted(f"m{n}", b"z" * 2000) for n in range(20)])
         self.assertEqual([f.name for f in self.folder.iterdir()], ["journal"])
-        made.append([accepted("a")])
+        journal.append([accepted("a")])
         self.assertEqual(list(self.open(20_000).live), ["a"])
 
 
 class Hand:
-    """A clock that is set by hand."""
+    """A clock that tests set."""
 
     at = ENDS
 
@@ -455,8 +458,8 @@
         return self.at
 
 
-class Growth(unittest.TestCase):
-    """A sender runs for good: nothing may grow with the hosts that ever were."""
+class BoundedState(unittest.TestCase):
+    """A sender runs indefinitely, so nothing may grow with the number of hosts ever listed."""
 
     def test_numbers_of_hosts_that_are_gone(self):
         clock = Hand()
@@ -466,8 +469,8 @@
             for index, status in ((n, "Ready"), (n - 5, "Gone")):
                 address = f"127.0.0.1:{1000 + index}"
                 entry = configs.ListedEndpoint(f"s-{index}", address, 7, status, "haulier")
-                news, _ = hosts.read(configs.ListUpdate(n, False, [entry]))
-                numbers.add(news.entries[0].number)
+                endpoint_list, _ = hosts.read(configs.ListUpdate(n, False, [entry]))
+                numbers.add(endpoint_list.entries[0].number)
         self.assertLess(len(hosts._number_by_name), 80)
         self.assertEqual((len(numbers), sorted(hosts.by_number)), (305, sorted(hosts.by_number)))
         self.assertEqual(len(hosts.by_number), 5)
@@ -476,7 +479,7 @@
         hosts.read(configs.ListUpdate(2, True, []))
         self.assertEqual((hosts._number_by_name, hosts._unlisted_since), ({}, {}))
 
-    def test_waits_and_lines_of_kept_connections(self):
+    def test_waits_and_idle_connections(self):
         clock = Hand()
         config = configs.read_config(
             json.dumps(
@@ -502,14 +505,14 @@
         endpoint_side._keep_idle(
             Relay(None, 0, 58, Host(58, "s-58", ("127.0.0.1", 58), 58, True), ENDS, ENDS), ours
         )
-        self.assertEqual(ours.fileno(), -1)  # its host is gone: closed, not kept
+        self.assertEqual(ours.fileno(), -1)  # closed and not kept, since its host is gone
         for number in list(endpoint_side._idle):
             endpoint_side.close_idle(number)
 
 
 class Rounds(unittest.TestCase):
-    def test_what_comes_within_a_period_shares_a_round(self):
-        """One round for each event took the CPU that the sockets wanted, and clients waited in vain."""
+    def test_items_within_a_period_share_a_round(self):
+        """One round for each item took the CPU that the sockets needed, and clients timed out."""
         settings = {**SETTINGS, "periodS": 0.05}
         config = configs.read_config(
             json.dumps(
@@ -525,8 +528,9 @@
         threading.Timer(0.01, decision_loop.post, (2,)).start()
         self.assertEqual(decision_loop._next_items(), [1, 2])
         decision_loop.config = msgspec.structs.replace(config, period=timedelta(0))
-        for took, share in [(timedelta(0), [1]), (timedelta(milliseconds=20), [1, 2])]:  # long rounds: fewer
-            decision_loop._round_duration, decision_loop._round_started_at = took, clock.now()
+        for duration, share in [(timedelta(0), [1]), (timedelta(milliseconds=20), [1, 2])]:
+            # After a long round the next one starts later.
+            decision_loop._round_duration, decision_loop._round_started_at = duration, clock.now()
             decision_loop.post(1)
             timer = threading.Timer(0.01, decision_loop.post, (2,))
             timer.start()
@@ -535,15 +539,15 @@
             decision_loop._inbox = queue.SimpleQueue()
 
 
-class Small(unittest.TestCase):
-    def test_the_on_call_page_has_every_sort_of_line(self):
+class LogAndClock(unittest.TestCase):
+    def test_the_on_call_page_lists_every_event_word(self):
         page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
         code = "".join(p.read_text(encoding="utf-8") for p in (ROOT / "willownotch").rglob("*.py"))
-        sorts = set(re.findall(r'\bsay\(\s*"([a-z]+)"', code)) | {"full", "unlisted", "early"}
-        self.assertGreater(len(sorts), 15)
-        self.assertEqual([sort for sort in sorts if f"| `{sort}` |" not in page], [])
+        words = set(re.findall(r'\bsay\(\s*"([a-z]+)"', code)) | {"full", "unlisted", "early"}
+        self.assertGreater(len(words), 15)
+        self.assertEqual([word for word in words if f"| `{word}` |" not in page], [])
 
-    def test_the_log_keeps_to_its_rate_and_says_what_it_kept_back(self):
+    def test_the_log_limits_its_rate_and_counts_what_it_omits(self):
         class Sink(list):
             def write(self, text):
                 self.append(text)
@@ -554,14 +558,14 @@
         clock, sink = Hand(), Sink()
         log = Log(clock, "n0", sink)
         for n in range(MOST + 3):
-            log.say("sort", f"line {n}\nsecond")
+            log.say("word", f"line {n}\nsecond")
         clock.at += timedelta(seconds=2)
-        log.say("sort", "later")
+        log.say("word", "later")
         lines = "".join(sink).splitlines()
         self.assertEqual(len(lines), MOST + 1)
         self.assertIn("3 more", lines[-1])
 
-    def test_the_clock_is_the_wall_clock_and_never_runs_back(self):
+    def test_the_clock_shows_the_wall_time_and_never_runs_backwards(self):
         clock = Clock()
         first = clock.now()
         self.assertLess(abs(first - datetime.now(UTC)), timedelta(seconds=1))
@@ -569,10 +573,10 @@
         self.assertEqual((millis(timedelta(microseconds=2900)), millis(timedelta(seconds=-1))), (2, 0))
 
 
-class Together(unittest.TestCase):
-    """Several messages in one call."""
+class BulkCalls(unittest.TestCase):
+    """Calls that carry several messages."""
 
-    def test_the_body_has_a_line_and_the_bytes_of_each(self):
+    def test_the_body_has_a_line_and_the_body_of_each_message(self):
         self.assertEqual(
             bulk.write_body([("a1", None, b"hello"), ("a2", "k", b"\r\n")]),
             b"a1 - 5\r\nhello\r\na2 k 2\r\n\r\n\r\n",
@@ -581,7 +585,7 @@
             most = len(body) + bulk.max_overhead_bytes(ref, key)
             self.assertLessEqual(len(bulk.write_body([(ref, key, body)])), most)
 
-    def test_what_the_answer_says_of_each_and_what_it_does_not_say(self):
+    def test_answers_that_omit_or_misname_messages(self):
         table = [
             (b"a1 delivered\r\n", (Outcome.DELIVERED, True)),
             (b"a1 failed\n", (Outcome.ERROR, False)),
--- a/willownotch/net/pending.py
+++ b/willownotch/net/pending.py
@@ -31,8 +31,8 @@
         self._answer.put(answer)
 
     def wait(self, timeout: timedelta, claimed_timeout: timedelta) -> T | None:
-        """Wait for the answer. None if it was not claimed within `timeout`, after which it cannot be, or if it
-        was claimed but not given within `claimed_timeout` more."""
+        """Wait for the answer. None if it was not claimed within `timeout`, after which it cannot be, or
+        if it was claimed but not given within `claimed_timeout` more."""
         try:
             return self._answer.get(timeout=seconds(max(ZERO, timeout)))
         except queue.Empty:
