--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -138,13 +138,11 @@
         self.cancel: Callable[[Relay], None] = lambda relay: None
         self.close_idle: Callable[[int], None] = lambda number: None
         self.notify: Callable[[Notice], None] = lambda notice: None
-        self.forward: Callable[[RelayEnded | Withdraw], None] = (
-            lambda item: None
-        )  # to the process that has taken over
+        # To the process that has taken over.
+        self.forward: Callable[[RelayEnded | Withdraw], None] = lambda item: None
         self.list_index = config.known.index if config.known is not None else 0
-        self.retuned: Callable[[Config], None] = (
-            lambda config: None
-        )  # applies new settings to the other parts
+        # Applies new settings to the other parts of the process.
+        self.retuned: Callable[[Config], None] = lambda config: None
         self.shared: SharedState | None = None  # set if budgets or judgements are shared
         self._budget_parts: BudgetParts | None = None  # parts of budgets last received
         self.custody: Keeper | None = None  # set if messages are replicated
@@ -154,31 +152,28 @@
         self._timers: list[tuple[datetime, int, int | Relay]] = []
         self._timer_order = itertools.count()
         self._outstanding: dict[str, Delivery] = {}
-        self._unanswered_notices: dict[
-            str, tuple[AcceptedMessage, MessageEnded]
-        ] = {}  # by id: messages whose notice is not answered yet
+        self._unanswered_notices: dict[str, tuple[AcceptedMessage, MessageEnded]] = {}  # by id
         self._key_blockers: dict[str, set[str]] = {}  # by key: ids whose notice its next relay waits for
-        self._blocked_relays: dict[str, list[Relay]] = {}
+        self._blocked_relays: dict[str, list[Relay]] = {}  # by key
         self._ended_ids: dict[str, datetime] = {}  # by id: when a finished message is forgotten
         self._recovered: list[Entry] | None = []
         self.lost_bodies: list[str] = []  # ids of messages whose body was missing at the start
         self._has_list = False
         self._started_at = clock.now()
-        self._round_started_at = self._started_at  # start of the last round
-        self._round_duration = ZERO  # duration of the last round
+        self._round_started_at = self._started_at  # the last round's
+        self._round_duration = ZERO  # the last round's
         self._never_set = threading.Event()  # never set; used for interruptible sleeps
         self._outstanding_count = 0  # messages without a final outcome
-        self._new_relays: list[Relay] = []  # relays decided on in this round
-        self._unwritten_records: list[Record] = []  # records that the disk refused
-        self._ended_without_body: list[
-            tuple[Delivery, MessageEnded]
-        ] = []  # ended in this round for lack of a body
+        self._new_relays: list[Relay] = []  # decided on in this round
+        self._unwritten_records: list[Record] = []  # refused by the disk
+        self._ended_without_body: list[tuple[Delivery, MessageEnded]] = []  # in this round
 
     def _settings_of(self, config: Config) -> api.Settings:
         """The decision module's settings. Where senders share judgements, it may always publish its own."""
         return replace(config.settings, may_tell=True) if self.shares_judgements else config.settings
 
     def _index_names(self) -> None:
+        """Map the names of classes and tenants to the numbers that the decision module uses."""
         self.classes = {c.name: n for n, c in enumerate(self.settings.classes)}
         self.tenants = {t.name: n for n, t in enumerate(self.settings.tenants)}
 
@@ -231,6 +226,7 @@
         return False
 
     def _handover_state(self) -> HandoverState:
+        """All that the next process needs to continue, while no round is running."""
         blocked = {relay for relays in self._blocked_relays.values() for relay in relays}
         return HandoverState(
             config=self.config,
@@ -603,6 +599,7 @@
         return self.settings.classes[self.classes[message.message_class]]
 
     def _repeatable(self, message: AcceptedMessage) -> bool:
+        """Whether a message may be executed more than once."""
         return self._class_of_message(message).idempotency is not api.Idempotency.UNSAFE
 
     def _hand_in(
@@ -613,6 +610,10 @@
         records: list[Record],
         new_deliveries: list[Delivery],
     ) -> None:
+        """Add a message to this round, or answer its client at once if it is a repeat or is rejected.
+
+        Its record, event and delivery are added to the lists; its client is answered after the round.
+        """
         message = item.message
         if not item.pending.claim():
             self.bodies.discard(message)
@@ -802,6 +803,7 @@
     def _message_event(
         self, message: AcceptedMessage, now: datetime, past: tuple[api.PastAttempt, ...] = ()
     ) -> api.Message:
+        """The decision module's event for a message, with its past attempts if it was recovered."""
         return api.Message(
             message.ref,
             message.destination,
@@ -862,6 +864,7 @@
     def _relay_ended(
         self, ended: RelayEnded, now: datetime, events: list[api.Event], records: list[Record]
     ) -> None:
+        """Record the end of a relay and add its event. If it is `over`, the message ends too."""
         relay, ref = ended.relay, ended.relay.message.ref
         delivery = self._outstanding.get(ref)
         if delivery is None or delivery.active_relays.pop(relay.number, None) is None:
@@ -1087,6 +1090,7 @@
         self.log.say("module", action.text + about)
 
     def _send(self, action: api.Send, now: datetime) -> None:
+        """Create the relay that the decision module asks for, and launch it unless it cannot go yet."""
         delivery, host = self._outstanding[action.ref], self.hosts.by_number.get(action.endpoint)
         ends_at = min(now + span(action.time_out_s), delivery.message.ends_at - DEADLINE_MARGIN)
         relay = Relay(
--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -32,8 +32,9 @@
 MIN_SOCKET_TIMEOUT = timedelta(milliseconds=1)
 DEADLINE_MARGIN = timedelta(milliseconds=100)  # a message's time started before its first byte was read here
 MAX_REPLICATION_WAIT = timedelta(seconds=1)  # for other senders to store a relay's record
-DISK_ERROR_DELAY = timedelta(seconds=1)  # before a relay that failed for a disk error is reported
-MAX_START_DELAY = timedelta(milliseconds=200)  # the kill comes this much later than the module assumes
+DISK_ERROR_DELAY = timedelta(seconds=1)  # before the end of a relay that a disk error prevented is reported
+# From the decision on a relay to its start, after SIGTERM: the module assumes an earlier kill by this much.
+MAX_START_DELAY = timedelta(milliseconds=200)
 DEDUP_WINDOW_MARGIN = timedelta(milliseconds=20)  # kept of the window, for the call to reach its host
 SHORTAGE_TIMEOUT = timedelta(milliseconds=300)  # to obtain a socket or port that this machine is short of
 SHORTAGE_RETRY_DELAY = timedelta(milliseconds=10)
@@ -714,8 +715,7 @@
     def _failed_end(
         self, relay: Relay, fault: Exception, sent: bool, parser: http.Parser, batch: bool = False
     ) -> RelayEnded:
-        """The end of a relay whose call failed without a complete, valid answer. `sent`: it was written
-        whole.
+        """The end of a relay whose call failed without a valid answer. `sent`: all of the call was written.
 
         A status line with 200 is trusted on its own. Any other damaged answer proves nothing, not even a
         rejection: the call may have been executed, and an unrepeatable message must not be sent again.
