--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -33,7 +33,8 @@
 DEADLINE_MARGIN = timedelta(milliseconds=100)  # a message's time started before its first byte was read here
 MAX_REPLICATION_WAIT = timedelta(seconds=1)  # for other senders to store a relay's record
 DISK_ERROR_DELAY = timedelta(seconds=1)  # before the end of a relay that a disk error prevented is reported
-# From the decision on a relay to its start, after SIGTERM: the module assumes an earlier kill by this much.
+# After SIGTERM, the longest time from the decision on a relay to its start: the kill comes this much later
+# than the module assumes.
 MAX_START_DELAY = timedelta(milliseconds=200)
 DEDUP_WINDOW_MARGIN = timedelta(milliseconds=20)  # kept of the window, for the call to reach its host
 SHORTAGE_TIMEOUT = timedelta(milliseconds=300)  # to obtain a socket or port that this machine is short of
