--- a/willownotch/net/bulk.py
+++ b/willownotch/net/bulk.py
@@ -1,4 +1,4 @@
-"""Several messages in one call: its body as bytes, and what the answer says of each. No I/O."""
+"""The format of a call that carries several messages: its body, and an answer with a line for each."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from willownotch.interface import Outcome
 
 TARGET = "/inbox/bulk"
-# What the answer says of a message: its outcome, and whether it is over for the host, too.
-WORDS = {
+# Word of the answer: the message's outcome, and whether the host has finished with the message.
+OUTCOME_BY_WORD = {
     "delivered": (Outcome.DELIVERED, True),
     "failed": (Outcome.ERROR, False),
     "refused": (Outcome.REJECTED, False),
@@ -18,27 +18,30 @@
 
 
 def write_body(messages: Iterable[tuple[str, str | None, bytes]]) -> bytes:
-    """Of each message its id, its idempotency key and its bytes."""
+    """The body of a call, from the id, the idempotency key and the body of each message."""
     parts = []
     for ref, key, body in messages:
         parts += [f"{ref} {key or '-'} {len(body)}\r\n".encode("latin-1"), body, b"\r\n"]
     return b"".join(parts)
 
 
-def line_room(ref: str, key: str | None) -> int:
-    """Bytes that a message takes besides its body."""
+def max_overhead_bytes(ref: str, key: str | None) -> int:
+    """Upper bound of the bytes that a message takes besides its body."""
     return len(ref) + len(key or "-") + 16
 
 
 def read_answer(body: bytes, refs: Iterable[str]) -> dict[str, tuple[Outcome, bool]]:
-    """What became of each message. One that is left out, named twice or with another word may have run."""
-    said: dict[str, list[str]] = {}
+    """The outcome of each message, and whether the host has finished with it.
+
+    A message that is omitted, named twice or has an unknown word may have been executed, so it is an error.
+    """
+    words_by_ref: dict[str, list[str]] = {}
     for line in body.decode("latin-1").splitlines():
         ref, _, word = line.strip().partition(" ")
-        said.setdefault(ref, []).append(word.strip())
+        words_by_ref.setdefault(ref, []).append(word.strip())
     return {
-        ref: WORDS.get(words[0], (Outcome.ERROR, False))
-        if len(words := said.get(ref, [])) == 1
+        ref: OUTCOME_BY_WORD.get(words[0], (Outcome.ERROR, False))
+        if len(words := words_by_ref.get(ref, [])) == 1
         else (Outcome.ERROR, False)
         for ref in refs
     }
--- a/willownotch/net/pending.py
+++ b/willownotch/net/pending.py
@@ -1,4 +1,4 @@
-"""One thread's wait for another's answer, either claimed in time or abandoned, never both."""
+"""A reply that one thread waits for and another gives; it is either claimed in time or abandoned."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
 
 
 class PendingReply(Generic[T]):
-    """Either who answers claims it in time or who waits abandons it, never both."""
+    """A one-time reply. The answering thread claims it, or the waiting thread abandons it; never both."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._box: queue.SimpleQueue[T] = queue.SimpleQueue()
+        self._answer: queue.SimpleQueue[T] = queue.SimpleQueue()
         self.claimed = self.abandoned = False
 
     def claim(self) -> bool:
-        """Take it up; False if nobody waits any more."""
+        """Commit to answering. False if the waiting thread has given up."""
         with self._lock:
             self.claimed = not self.abandoned
             return self.claimed
 
     def settle(self, answer: T) -> None:
         """Give the answer."""
-        self._box.put(answer)
+        self._answer.put(answer)
 
-    def wait(self, patience: timedelta, claimed_patience: timedelta) -> T | None:
-        """The answer; None if it was not taken up in time and now never will."""
+    def wait(self, timeout: timedelta, claimed_timeout: timedelta) -> T | None:
+        """Wait for the answer. None if it was not claimed within `timeout`, after which it cannot be, or
+        if it was claimed but not given within `claimed_timeout` more."""
         try:
-            return self._box.get(timeout=seconds(max(ZERO, patience)))
+            return self._answer.get(timeout=seconds(max(ZERO, timeout)))
         except queue.Empty:
             with self._lock:
                 self.abandoned = not self.claimed
                 if self.abandoned:
                     return None
-        try:  # being decided this moment
-            return self._box.get(timeout=seconds(claimed_patience))
+        try:  # claimed, so an answer is on its way
+            return self._answer.get(timeout=seconds(claimed_timeout))
         except queue.Empty:
             return None
--- a/willownotch/net/registry.py
+++ b/willownotch/net/registry.py
@@ -1,4 +1,4 @@
-"""What is said with the platform: the list of south side hosts by a watch, and notices of ended messages."""
+"""The exchange with the platform: watching its list of endpoints, and notifying it of final outcomes."""
 
 from __future__ import annotations
 
@@ -19,32 +19,30 @@
 from willownotch.net.config import Config, ConfigError, ListedEndpoint, ListUpdate, read_address
 from willownotch.net.log import Log
 
-# What discovery has to tell counts as told 6 s later, if it could be reached, and a little after that nothing
-# more may go to an endpoint that it says is gone. Within that a silent watch is noticed, made anew and heard.
+# A sender that can reach discovery must know a change of the list 6 s later: soon after that nothing more may
+# be sent to an endpoint that is gone. Within that time a silent watch has to be detected and replaced.
 LIST_CHANGE_GRACE = timedelta(seconds=6)
-SILENCE_TIMEOUT = timedelta(
-    seconds=3
-)  # a watch ends a line every 2 s: half as late again, and it is made anew
+SILENCE_TIMEOUT = timedelta(seconds=3)  # a watch sends a line every 2 s; 50% more is allowed
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
-# An agent on this machine answers at once and for nothing, and what it has counts as told: it is asked often.
-# A service for all senders answers one after the other, for a price, and with 503 what waits for too long.
+# An agent on this machine answers at once and at no cost, and senders are expected to know what it knows, so
+# it is asked often. A service shared by all senders answers them one by one, and with 503 after a long wait.
 AGENT_FIRST_DATA_TIMEOUT, SERVICE_FIRST_DATA_TIMEOUT = timedelta(milliseconds=500), timedelta(seconds=2)
-AGAIN_FIRST, AGAIN_MOST = timedelta(milliseconds=100), timedelta(seconds=1)  # between tries, doubling
-MAX_RETRY_DELAY_AGENT = timedelta(milliseconds=300)  # the most, where an agent is asked
-CALL_EACH = timedelta(milliseconds=200)  # x other senders: a service short of time answers each within that
-CALL_LEAST = timedelta(milliseconds=5)  # however soon the last one was answered
-AGAIN_LONG = (
-    LIST_CHANGE_GRACE - CONNECT_TIMEOUT - SERVICE_FIRST_DATA_TIMEOUT
-)  # the most, if all can be answered
-MAX_RETRY_DELAY_AFTER_SILENCE = AGAIN_LONG - SILENCE_TIMEOUT  # and after a silence, which has taken its time
-# A service that is down refuses at once. One that is asked by too many lets them wait, and wants them apart.
-MAX_RETRY_DELAY_BUSY, BUSY_AFTER = timedelta(seconds=30), timedelta(milliseconds=300)
-# A notice is answered at once: what takes longer is lost, with its connection. Each try waits for longer.
-NOTICE_FIRST, NOTICE_MOST = timedelta(milliseconds=150), timedelta(seconds=1)
-NOTICES_MOST = 64  # notices in one call
-GONE_KEPT = timedelta(seconds=60)  # how long a host that left the list keeps its number
-MAX_WATCH_LIST_BYTES = 4 << 20  # bytes of one list of a watch
-READINESS = {
+# A delay is drawn from a span that doubles with each try, within these bounds.
+MIN_RETRY_SPAN, MAX_RETRY_SPAN = timedelta(milliseconds=100), timedelta(seconds=1)
+MAX_RETRY_DELAY_AGENT = timedelta(milliseconds=300)
+SERVICE_TIME_PER_SENDER = timedelta(milliseconds=200)  # in which a busy service answers one sender
+MIN_SERVICE_TIME = timedelta(milliseconds=5)  # however fast the last answer was
+# These hold if the service can answer all senders in time. After a silence less of the grace is left.
+MAX_RETRY_DELAY_SERVICE = LIST_CHANGE_GRACE - CONNECT_TIMEOUT - SERVICE_FIRST_DATA_TIMEOUT
+MAX_RETRY_DELAY_AFTER_SILENCE = MAX_RETRY_DELAY_SERVICE - SILENCE_TIMEOUT
+# A service that is down refuses at once. An overloaded one answers late, and its clients have to spread out.
+MAX_RETRY_DELAY_BUSY, BUSY_RESPONSE_TIME = timedelta(seconds=30), timedelta(milliseconds=300)
+# Notices are answered at once: after a timeout the connection counts as lost. Each try doubles the timeout.
+NOTICE_TIMEOUT, MAX_NOTICE_TIMEOUT = timedelta(milliseconds=150), timedelta(seconds=1)
+MAX_NOTICES_PER_CALL = 64
+GONE_RETENTION = timedelta(seconds=60)  # for which a host that left the list keeps its number
+MAX_WATCH_LIST_BYTES = 4 << 20
+READINESS_BY_STATUS = {
     "Ready": api.Readiness.SERVING,
     "Terminating": api.Readiness.DRAINING,
     "Gone": api.Readiness.GONE,
@@ -53,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A south side host as the list has it."""
+    """The host of an endpoint, as listed. `since_ms` is when it appeared, as discovery tells it."""
 
     number: int
     name: str
@@ -66,123 +64,139 @@
 
 
 class Hosts:
-    """Names of the list to the module's numbers. The owner writes, relays read; an entry is never changed.
+    """The listed hosts, and the numbers by which the decision module knows them.
 
-    Hosts come and go for as long as the sender runs: a name that is gone keeps its number for a while only,
-    and no number is given twice. A difference costs by what it names, not by all that is listed.
+    Only the decision loop writes; other threads read, so an entry is replaced and never changed. A name that
+    left the list keeps its number for a limited time, so that nothing grows without bound, and no number is
+    used twice. Applying a difference costs time by the hosts that it names, not by all that are listed.
     """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], clock: Clock, log: Log) -> None:
         self.kinds, self.zones, self.clock, self.log = kinds, zones, clock, log
         self.by_number: dict[int, Host] = {}
-        self._numbers: dict[str, int] = {}
-        self._last = 0  # number given
-        self._gone: dict[str, datetime] = {}  # since when a name with a number is unlisted, oldest first
-        self._at: dict[tuple[str, int], int] = {}  # of an address, the number of the one host there
-        self._listed: dict[int, int] = {}  # of a destination, how many hosts the list has
+        self._number_by_name: dict[str, int] = {}
+        self._last_number = 0
+        self._unlisted_since: dict[str, datetime] = {}  # by name, oldest first
+        self._number_by_address: dict[tuple[str, int], int] = {}
+        self._listed_hosts: dict[int, int] = {}  # by destination: how many are listed
 
     def state(self) -> dict:
-        """All of it, for the process that goes on with these numbers."""
-        return {"by_number": self.by_number, "numbers": self._numbers, "last": self._last, "gone": self._gone}
+        """The state for the process that takes over, which has to keep these numbers."""
+        return {
+            "by_number": self.by_number,
+            "numbers": self._number_by_name,
+            "last": self._last_number,
+            "gone": self._unlisted_since,
+        }
 
     def adopt(self, state: dict) -> None:
-        """Go on with another process's numbers."""
+        """Continue with the hosts and numbers of another process."""
         self.by_number.update(state["by_number"])
-        self._numbers, self._last, self._gone = state["numbers"], state["last"], state["gone"]
-        self._at, self._listed = {}, {}
-        self._displaced(dict.fromkeys(self.by_number))
-        self._count(dict.fromkeys(self.by_number))
+        self._number_by_name, self._last_number, self._unlisted_since = (
+            state["numbers"],
+            state["last"],
+            state["gone"],
+        )
+        self._number_by_address, self._listed_hosts = {}, {}
+        self._displace(dict.fromkeys(self.by_number))
+        self._update_counts(dict.fromkeys(self.by_number))
 
     def number(self, name: str) -> int:
-        """The module's number for a host; the same until it has been gone for long."""
-        if name not in self._numbers:
-            self._last += 1
-            self._numbers[name] = self._last
-            self._gone[name] = self.clock.now()  # until the list has it
-        return self._numbers[name]
+        """The number of a host; the same one until it has been unlisted for longer than a minute."""
+        if name not in self._number_by_name:
+            self._last_number += 1
+            self._number_by_name[name] = self._last_number
+            self._unlisted_since[name] = self.clock.now()  # counts as unlisted until a list names it
+        return self._number_by_name[name]
 
     def name(self, number: int) -> str | None:
-        """The name of a host that the list has."""
+        """The name of a listed host; None for any other number."""
         host = self.by_number.get(number)
         return host.name if host is not None else None
 
     def number_listed(self, name: str) -> int | None:
-        """The number of a host that the list has; None for any other."""
-        number = self._numbers.get(name)
+        """The number of a listed host; None for any other name."""
+        number = self._number_by_name.get(name)
         return number if number in self.by_number else None
 
-    def read(self, news: ListUpdate) -> tuple[api.EndpointList, list[int]]:
-        """Discovery's news for the module, and hosts to which no kept connection is of use any more.
+    def read(self, update: ListUpdate) -> tuple[api.EndpointList, list[int]]:
+        """Apply an update of the list.
 
-        An entry that makes no sense is named and left as it was.
+        Returns the module's event, and the numbers of hosts whose idle connections have become useless. An
+        entry that is invalid is logged and leaves its host as it was.
         """
         entries, before = [], {}
-        for listed in news.endpoints:
+        for listed in update.endpoints:
             try:
-                entries.append(self._entry(listed, before))
+                entries.append(self._apply_entry(listed, before))
             except (ConfigError, ValueError) as fault:
-                self.log.say("list", f"entry {listed.name!r} passed over: {fault}")
-        if news.snapshot:
+                self.log.say("list", f"entry {listed.name!r} ignored: {fault}")
+        if update.snapshot:
             named = {entry.number for entry in entries}
             for number in [n for n in self.by_number if n not in named]:
                 before.setdefault(number, self.by_number.pop(number))
-        entries += self._displaced(before)
-        self._count(before)
-        self._forget(before)
-        left = [number for number, host in before.items() if host and self.by_number.get(number) != host]
-        return api.EndpointList(tuple(entries), news.snapshot), left
+        entries += self._displace(before)
+        self._update_counts(before)
+        self._forget_names(before)
+        changed = [number for number, host in before.items() if host and self.by_number.get(number) != host]
+        return api.EndpointList(tuple(entries), update.snapshot), changed
 
-    def _displaced(self, before: dict[int, Host | None]) -> list[api.Endpoint]:
-        """A new host at another's address is another: what was meant for the old one must not reach it.
+    def _displace(self, before: dict[int, Host | None]) -> list[api.Endpoint]:
+        """Remove hosts whose address a newer host has taken over, and return them as gone.
 
-        `before` has what was there of all numbers that may have changed, and gets what is displaced.
+        Calls meant for the old host must not reach the new one. `before` maps each number that may have
+        changed to its previous host; displaced hosts are added to it.
         """
         for number, host in before.items():
-            if host is not None and self._at.get(host.address) == number:
-                del self._at[host.address]
+            if host is not None and self._number_by_address.get(host.address) == number:
+                del self._number_by_address[host.address]
         rivals: dict[tuple[str, int], list[Host]] = {}
         for number in before:
             if (host := self.by_number.get(number)) is not None:
                 rivals.setdefault(host.address, []).append(host)
         older = []
         for address, hosts in rivals.items():
-            if address in self._at:
-                hosts.append(self.by_number[self._at[address]])
+            if address in self._number_by_address:
+                hosts.append(self.by_number[self._number_by_address[address]])
             newest = max(hosts, key=lambda host: (host.serving, host.since_ms, host.number))
-            self._at[address] = newest.number
+            self._number_by_address[address] = newest.number
             older += [host for host in hosts if host is not newest]
         for host in older:
             before.setdefault(host.number, self.by_number.pop(host.number))
         return [api.Endpoint(h.number, h.destination, h.kind, h.zone, api.Readiness.GONE) for h in older]
 
-    def _count(self, before: dict[int, Host | None]) -> None:
-        """How many hosts a destination has: what came first, since others ask while it is counted."""
+    def _update_counts(self, before: dict[int, Host | None]) -> None:
+        """Update the number of hosts of each destination. Additions come first, since other threads may read
+        the counts meanwhile and must not see a destination vanish."""
         for number in before:
             if (host := self.by_number.get(number)) is not None:
-                self._listed[host.destination] = self._listed.get(host.destination, 0) + 1
+                self._listed_hosts[host.destination] = self._listed_hosts.get(host.destination, 0) + 1
         for host in before.values():
             if host is not None:
-                self._listed[host.destination] -= 1
-                if not self._listed[host.destination]:
-                    del self._listed[host.destination]
+                self._listed_hosts[host.destination] -= 1
+                if not self._listed_hosts[host.destination]:
+                    del self._listed_hosts[host.destination]
 
-    def _forget(self, before: dict[int, Host | None]) -> None:
-        """Names that have been gone for longer than any relay, wait or cold start may last."""
+    def _forget_names(self, before: dict[int, Host | None]) -> None:
+        """Forget names that have been unlisted for longer than any relay, wait or slow start may last."""
         now = self.clock.now()
         for number, host in before.items():
             if number in self.by_number:
-                self._gone.pop(self.by_number[number].name, None)
+                self._unlisted_since.pop(self.by_number[number].name, None)
             elif host is not None:
-                self._gone.setdefault(host.name, now)
-        for name, _ in list(takewhile(lambda item: now - item[1] > GONE_KEPT, self._gone.items())):
-            del self._gone[name], self._numbers[name]
-
-    def _entry(self, listed: ListedEndpoint, before: dict[int, Host | None]) -> api.Endpoint:
+                self._unlisted_since.setdefault(host.name, now)
+        for name, _ in list(
+            takewhile(lambda item: now - item[1] > GONE_RETENTION, self._unlisted_since.items())
+        ):
+            del self._unlisted_since[name], self._number_by_name[name]
+
+    def _apply_entry(self, listed: ListedEndpoint, before: dict[int, Host | None]) -> api.Endpoint:
+        """Apply one entry of an update, and add its previous host to `before`. `ValueError` if invalid."""
         if listed.type not in self.kinds:
             raise ValueError(f"unknown type {listed.type!r}")
-        if listed.status not in READINESS:
+        if listed.status not in READINESS_BY_STATUS:
             raise ValueError(f"unknown status {listed.status!r}")
-        readiness, number = READINESS[listed.status], self.number(listed.name)
+        readiness, number = READINESS_BY_STATUS[listed.status], self.number(listed.name)
         address = read_address(listed.address, "its address")
         zone = self.zones.index(listed.zone) if listed.zone in self.zones else 0
         before.setdefault(number, self.by_number.get(number))
@@ -204,207 +218,237 @@
         )
 
     def listed(self, destination: int) -> bool:
-        """Whether the list has anything for a destination."""
-        return destination in self._listed
+        """Whether any host is listed for a destination."""
+        return destination in self._listed_hosts
 
 
 class WatchDecoder:
-    """Cuts bytes into lines as they come, and the lines into lists: one may be indented over many lines."""
+    """Decodes a watch's byte stream into updates of the list. One update may be indented over several
+    lines."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()
-        self._begun = bytearray()  # whole lines of a list that is not whole yet
+        self._partial_line = bytearray()
+        self._partial_list = bytearray()  # complete lines of an incomplete list
 
     def feed(self, data: bytes) -> tuple[list[ListUpdate], bool]:
-        """The lists that are whole now, and whether any line was. What can be no list is `DecodeError`."""
-        self._rest += data
-        *lines, rest = self._rest.split(b"\n")
-        self._rest = bytearray(rest)
-        if len(self._rest) + len(self._begun) > MAX_WATCH_LIST_BYTES:
+        """The updates that are complete now, and whether any line was completed.
+
+        `DecodeError` for what cannot be an update, `BadMessageError` for one that is too long or breaks off.
+        """
+        self._partial_line += data
+        *lines, rest = self._partial_line.split(b"\n")
+        self._partial_line = bytearray(rest)
+        if len(self._partial_line) + len(self._partial_list) > MAX_WATCH_LIST_BYTES:
             raise http.BadMessageError(413, "a list of the watch is too long")
-        return [news for line in lines if (news := self._line(bytes(line).strip())) is not None], bool(lines)
+        return [
+            update for line in lines if (update := self._decode_line(bytes(line).strip())) is not None
+        ], bool(lines)
 
-    def _line(self, line: bytes) -> ListUpdate | None:
+    def _decode_line(self, line: bytes) -> ListUpdate | None:
+        """Add a line to the partial list; the update, if that completes it."""
         if not line:
-            if self._begun:
+            if self._partial_list:
                 raise http.BadMessageError(400, "a list of the watch breaks off")
             return None
-        first, self._begun = not self._begun, self._begun + line
-        if not first and not line.endswith(b"}"):  # only there a list can end
+        first, self._partial_list = not self._partial_list, self._partial_list + line
+        if not first and not line.endswith(b"}"):  # a list can only end with a closing brace
             return None
         try:
-            news = msgspec.json.decode(self._begun, type=ListUpdate)
+            update = msgspec.json.decode(self._partial_list, type=ListUpdate)
         except msgspec.DecodeError as fault:
-            if "truncated" in str(fault):  # indented: more is to come
+            if "truncated" in str(fault):  # indented: more lines follow
                 return None
             raise
-        self._begun = bytearray()
-        return news
+        self._partial_list = bytearray()
+        return update
 
 
 class Backoff:
-    """Waits between tries: they double up to a bound, and begin anew after a success.
+    """Random delays between tries, whose span doubles up to a bound and is reset after a success.
 
-    Each is drawn from its whole span, which is wide enough for all senders to be answered one by one: their
-    watches end together, and calls that come together are answered with 503 and only keep the platform busy.
+    The span is wide enough for all senders to be answered one after the other: their watches end together,
+    and calls that arrive together are answered with 503 and only keep the platform busy.
     """
 
     def __init__(self, senders: int = 1, draw: Callable[[], float] = random.random) -> None:
-        self.others, self.draw, self.each, self.tries = senders - 1, draw, CALL_EACH, 0
+        self.other_senders, self.draw, self.service_time, self.tries = (
+            senders - 1,
+            draw,
+            SERVICE_TIME_PER_SENDER,
+            0,
+        )
 
-    def next(self, most: timedelta = AGAIN_LONG) -> timedelta:
-        """How long to wait now: `most` at the most, unless all senders could not be answered so soon.
+    def next(self, limit: timedelta = MAX_RETRY_DELAY_SERVICE) -> timedelta:
+        """The next delay, at most `limit`.
 
-        To ask for what cannot be had in time would only have it come later still.
+        If the service cannot answer all senders in time, the limit for a busy service applies instead, since
+        asking more often would only delay the answers further.
         """
-        all_once = self.others * self.each
-        span = min(max(AGAIN_MOST, 2 * all_once), 2**self.tries * max(AGAIN_FIRST, all_once))
+        all_served = self.other_senders * self.service_time
+        span = min(max(MAX_RETRY_SPAN, 2 * all_served), 2**self.tries * max(MIN_RETRY_SPAN, all_served))
         self.tries = min(10, self.tries + 1)
-        return min(span, most if all_once <= 2 * AGAIN_LONG else MAX_RETRY_DELAY_BUSY) * (1.0 - self.draw())
+        return min(span, limit if all_served <= 2 * MAX_RETRY_DELAY_SERVICE else MAX_RETRY_DELAY_BUSY) * (
+            1.0 - self.draw()
+        )
 
-    def reset(self, took: timedelta = CALL_EACH) -> None:
-        """After a success, that took so long: what is answered sooner lets more ask at once."""
-        self.tries, self.each = 0, min(CALL_EACH, max(CALL_LEAST, took))
+    def reset(self, took: timedelta = SERVICE_TIME_PER_SENDER) -> None:
+        """Reset after a success. The less time it `took`, the more senders may ask at the same time."""
+        self.tries, self.service_time = 0, min(SERVICE_TIME_PER_SENDER, max(MIN_SERVICE_TIME, took))
 
 
 class Platform:
-    """Where the platform's agent is now, and the connections that lead there.
+    """The platform's address, and the open connections to it.
 
-    A new configuration moves it at any time. Whoever waits on a connection to the old address, or for the
-    next try, is woken at once: the old agent may go on and say nothing of what the new one has to tell.
+    A new configuration can change the address at any time. Threads that wait on a connection to the old
+    address or for their next try are then woken at once: the old agent may keep running with nothing new.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address, self.moves = address, 0
         self._changed = threading.Condition()
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
 
     def move(self, address: tuple[str, int]) -> bool:
-        """Go to another address from now on; False if that is where it is."""
+        """Use another address from now on. False if it is the current one."""
         with self._changed:
             if address == self.address:
                 return False
             self.address, self.moves = address, self.moves + 1
-            for sock in self._open:
+            for sock in self._connections:
                 try:
                     sock.shutdown(socket.SHUT_RDWR)  # wakes a blocked call; its own thread closes it
                 except OSError:
-                    pass  # not connected yet, or no longer
+                    pass  # not connected yet, or already closed
             self._changed.notify_all()
         return True
 
     def connect(self) -> tuple[socket.socket, str, int]:
-        """A new connection to where it is now, with the name to call it by and the moves made until then."""
+        """Open a connection to the current address.
+
+        Returns the socket, the value of its Host header, and the number of moves so far.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         with self._changed:
-            self._open.add(sock)
+            self._connections.add(sock)
             address, moves = self.address, self.moves
         try:
             sock.settimeout(seconds(CONNECT_TIMEOUT))
             sockets.disable_nagle(sock)
             sock.connect(address)
-            with self._changed:  # a move that came before the connection was there could not end it
+            with self._changed:  # a move during the connect could not shut it down
                 if self.moves != moves:
-                    raise ConnectionAbortedError("the platform has moved")
+                    raise ConnectionAbortedError("the platform's address has changed")
         except OSError:
             self.close(sock)
             raise
         return sock, f"{address[0]}:{address[1]}", moves
 
     def close(self, sock: socket.socket) -> None:
-        """Close a connection made here."""
-        with self._changed:  # never while a move looks at it: its descriptor may be another's by then
-            self._open.discard(sock)
+        """Close a connection that `connect` returned."""
+        with self._changed:  # not during a move, or its descriptor could be reused
+            self._connections.discard(sock)
             sock.close()
 
     def pause(self, span: timedelta, moves: int) -> None:
-        """Wait before the next try, but not once it has moved since `moves` was read."""
+        """Wait before the next try, but return at once if the address has moved since `moves` was read."""
         with self._changed:
             self._changed.wait_for(lambda: self.moves != moves, seconds(span))
 
 
 class SilentError(TimeoutError):
-    """A watch that had spoken says nothing any more."""
+    """A watch that had delivered data has fallen silent."""
 
 
 class BusyError(OSError):
-    """A watch was turned away by a service that has more to do than it can."""
+    """A watch was rejected by an overloaded service."""
 
 
 class EndpointListWatcher:
-    """Watches the list for good: a watch that breaks, is silent or talks nonsense is made anew."""
+    """Keeps a watch on the list of endpoints. One that breaks, falls silent or sends invalid data is
+    replaced, and the last list stays in force meanwhile."""
 
     def __init__(
-        self, config: Config, platform: Platform, log: Log, clock: Clock, tell: Callable[[ListUpdate], None]
+        self,
+        config: Config,
+        platform: Platform,
+        log: Log,
+        clock: Clock,
+        on_update: Callable[[ListUpdate], None],
     ) -> None:
-        self.platform, self.log, self.clock, self.tell = platform, log, clock, tell
+        self.platform, self.log, self.clock, self.on_update = platform, log, clock, on_update
         self.index, self._index_moves = config.known.index if config.known else 0, platform.moves
-        self.first_word = SERVICE_FIRST_DATA_TIMEOUT if config.shared_discovery else AGENT_FIRST_DATA_TIMEOUT
+        self.first_data_timeout = (
+            SERVICE_FIRST_DATA_TIMEOUT if config.shared_discovery else AGENT_FIRST_DATA_TIMEOUT
+        )
         self._backoff = Backoff(config.settings.senders if config.shared_discovery else 1)
-        self._again = AGAIN_LONG if config.shared_discovery else MAX_RETRY_DELAY_AGENT
+        self._max_delay = MAX_RETRY_DELAY_SERVICE if config.shared_discovery else MAX_RETRY_DELAY_AGENT
 
     def run(self) -> None:
         """Watch until the process ends."""
         while True:
-            moves, most = self.platform.moves, self._again
+            moves, max_delay = self.platform.moves, self._max_delay
             try:
                 self._watch()
-                why = "it was ended"
+                reason = "the platform ended it"
             except SilentError as fault:
-                why, most = str(fault), min(most, MAX_RETRY_DELAY_AFTER_SILENCE)
+                reason, max_delay = str(fault), min(max_delay, MAX_RETRY_DELAY_AFTER_SILENCE)
             except BusyError as fault:
-                why, most = str(fault), MAX_RETRY_DELAY_BUSY
+                reason, max_delay = str(fault), MAX_RETRY_DELAY_BUSY
             except (OSError, http.BadMessageError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-                why = str(fault) or type(fault).__name__
-            self.log.say("watch", f"broken off, the last list is kept: {why}")
-            self.platform.pause(self._backoff.next(most), moves)
+                reason = str(fault) or type(fault).__name__
+            self.log.say("watch", f"broken off, the last list is kept: {reason}")
+            self.platform.pause(self._backoff.next(max_delay), moves)
 
     def _watch(self) -> None:
-        sock, name, moves = self.platform.connect()
+        """Make one watch and deliver its updates until the platform ends it. Any failure raises."""
+        sock, host_header, moves = self.platform.connect()
         if moves != self._index_moves:
-            # One agent's versions say nothing to another: asked from there, changes could be left out.
+            # The versions of one agent mean nothing to another: asking from one could skip changes.
             self.index, self._index_moves = 0, moves
             self._backoff.reset()
         try:
-            # Counted from whole lines: what trickles is as silent as what says nothing.
-            asked, heard = self.clock.now(), False
-            due = asked + self.first_word
-            sock.settimeout(seconds(self.first_word))
+            # Only complete lines count as data: a connection that trickles bytes is as silent as an idle one.
+            asked_at, has_data = self.clock.now(), False
+            due = asked_at + self.first_data_timeout
+            sock.settimeout(seconds(self.first_data_timeout))
             target = f"/registry/instances?watch=1&from={self.index}"
-            sockets.send_all(sock, http.write_request("GET", target, name, ()))
-            parser, news = http.Parser(answer=True, stream=True), WatchDecoder()
+            sockets.send_all(sock, http.write_request("GET", target, host_header, ()))
+            parser, decoder = http.Parser(answer=True, stream=True), WatchDecoder()
             while not parser.eof:
                 try:
                     sock.settimeout(max(0.001, seconds(due - self.clock.now())))
                     parser.feed(sockets.receive(sock, http.READ_BYTES))
                 except TimeoutError:
-                    raise SilentError("it is silent") if heard else TimeoutError("no first word") from None
+                    raise (
+                        SilentError("it fell silent") if has_data else TimeoutError("no data came")
+                    ) from None
                 if not parser.read_head():
                     continue
-                if parser.head.status == 503 and self.clock.now() - asked >= BUSY_AFTER:
+                if parser.head.status == 503 and self.clock.now() - asked_at >= BUSY_RESPONSE_TIME:
                     raise BusyError("answered with 503 after a wait")
                 if parser.head.status != 200:
                     raise http.BadMessageError(400, f"answered with {parser.head.status}")
-                lists, whole = news.feed(parser.body_part())
-                if whole:
+                updates, whole_line = decoder.feed(parser.body_part())
+                if whole_line:
                     now = self.clock.now()
-                    if not heard:
-                        self._backoff.reset(now - asked)
-                    due, heard = now + SILENCE_TIMEOUT, True
-                for each in lists:
-                    self._take(each)
+                    if not has_data:
+                        self._backoff.reset(now - asked_at)
+                    due, has_data = now + SILENCE_TIMEOUT, True
+                for update in updates:
+                    self._deliver(update)
                 if parser.body_done():
                     return
         finally:
             self.platform.close(sock)
 
-    def _take(self, news: ListUpdate) -> None:
-        self.index = news.index
-        self.tell(news)
+    def _deliver(self, update: ListUpdate) -> None:
+        """Pass an update on, and remember its index, from which the next watch continues."""
+        self.index = update.index
+        self.on_update(update)
 
 
 class Notice(msgspec.Struct, omit_defaults=True):
-    """One line to the platform."""
+    """The final outcome of a message, sent to the platform as one line of JSON."""
 
     message: str
     outcome: str
@@ -412,64 +456,68 @@
 
 
 class NoticeSender:
-    """Tells the platform of ended messages, over and over until it has answered."""
+    """Sends notices of final outcomes to the platform, and repeats each until it is answered."""
 
-    def __init__(self, platform: Platform, log: Log, told: Callable[[list[str]], None]) -> None:
-        self.platform, self.log, self.told = platform, log, told
+    def __init__(self, platform: Platform, log: Log, on_answered: Callable[[list[str]], None]) -> None:
+        self.platform, self.log, self.on_answered = platform, log, on_answered
         self._queue: queue.SimpleQueue[Notice] = queue.SimpleQueue()
         self._sock: socket.socket | None = None
-        self._name = ""
+        self._host_header = ""
 
     def post(self, notice: Notice) -> None:
-        """Have a notice sent."""
+        """Queue a notice."""
         self._queue.put(notice)
 
     def run(self) -> None:
-        """Send what comes until the process ends."""
+        """Send queued notices until the process ends."""
         while True:
             notices = [self._queue.get()]
-            while len(notices) < NOTICES_MOST and not self._queue.empty():
+            while len(notices) < MAX_NOTICES_PER_CALL and not self._queue.empty():
                 notices.append(self._queue.get())
             self._send(notices)
 
     def _send(self, notices: list[Notice]) -> None:
-        backoff, patience = Backoff(), NOTICE_FIRST
+        """Send notices in one call, again and again until it is answered."""
+        backoff, timeout = Backoff(), NOTICE_TIMEOUT
         while True:
-            kept, moves = self._sock is not None, self.platform.moves
+            reused, moves = self._sock is not None, self.platform.moves
             try:
-                status = self._exchange(notices, patience)
+                status = self._exchange(notices, timeout)
             except (OSError, http.BadMessageError) as fault:
-                patience = min(NOTICE_MOST, 2 * patience)
-                if kept:  # it may have been closed while idle, unseen: that is no reason to wait
+                timeout = min(MAX_NOTICE_TIMEOUT, 2 * timeout)
+                if reused:  # it may have been closed while idle: retry at once
                     self._close()
                     continue
-                self.log.say("notice", f"not answered, tried again: {fault or type(fault).__name__}")
+                self.log.say("notice", f"not answered, retrying: {fault or type(fault).__name__}")
             else:
                 if 200 <= status < 300:
-                    return self.told([notice.message for notice in notices])
+                    return self.on_answered([notice.message for notice in notices])
                 if status == 400:
-                    return self._unread(notices)
-                self.log.say("notice", f"answered with {status}, tried again")
+                    return self._handle_unreadable(notices)
+                self.log.say("notice", f"answered with {status}, retrying")
             self._close()
             self.platform.pause(backoff.next(), moves)
 
-    def _unread(self, notices: list[Notice]) -> None:
-        """Found unreadable: one by one, so that a single bad line holds up no other."""
+    def _handle_unreadable(self, notices: list[Notice]) -> None:
+        """Handle an answer of 400. Several notices are sent again one by one, so that a bad one holds up no
+        other; a single one is given up."""
         if len(notices) > 1:
             for notice in notices:
                 self._send([notice])
             return
         self.log.say("notice", f"the platform cannot read the notice of {notices[0].message}: given up")
-        self.told([notices[0].message])
+        self.on_answered([notices[0].message])
 
-    def _exchange(self, notices: list[Notice], patience: timedelta) -> int:
-        """One call on the kept connection, or on a new one. Told twice does no harm."""
+    def _exchange(self, notices: list[Notice], timeout: timedelta) -> int:
+        """Make one call, on the open connection or a new one; its status. Duplicates do no harm."""
         if self._sock is None:
-            self._sock, self._name, _ = self.platform.connect()
-        self._sock.settimeout(seconds(patience))
+            self._sock, self._host_header, _ = self.platform.connect()
+        self._sock.settimeout(seconds(timeout))
         body = b"".join(msgspec.json.encode(notice) + b"\n" for notice in notices)
         headers = [("Content-Type", "application/x-ndjson")]
-        sockets.send_all(self._sock, http.write_request("POST", "/v1/outcomes", self._name, headers, body))
+        sockets.send_all(
+            self._sock, http.write_request("POST", "/v1/outcomes", self._host_header, headers, body)
+        )
         parser = http.Parser(answer=True)
         while (found := parser.next()) is None:
             if parser.eof:
