--- a/willownotch/journal/__init__.py
+++ b/willownotch/journal/__init__.py
@@ -1,5 +1,5 @@
-"""The journal's records, and what they leave live.
+"""Journal records and the state that they describe.
 
-In: records, or bytes that hold them. Out: entries, one for each message that is owed an end. The file itself
-is `net/journal.py`'s; nothing here reads a clock or opens anything.
+Input: records, or bytes that hold them. Output: one entry for each message that has no final outcome yet or
+whose notice is unanswered. `net/journal.py` owns the file; nothing here reads a clock or opens anything.
 """
--- a/willownotch/journal/records.py
+++ b/willownotch/journal/records.py
@@ -1,7 +1,8 @@
-"""The records of the journal, and what they say of each message. Plain values; nothing here touches a file.
+"""Journal records and the state that they describe. Plain values; nothing here accesses a file.
 
-A record is framed as magic, length, checksum, body. `apply` lets one change what is live, so that whoever
-sees the same records in the same order holds the same: a file that is read back, or a copy elsewhere.
+A frame in the file is magic, length, checksum and body. `apply` updates the live entries by one record and is
+deterministic: whoever applies the same records in the same order (a file read back, a copy on another sender)
+has the same entries.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
 FRAME = Struct("<4sII")
 MAGIC = b"wnJ1"
-MOST_RECORD = 1 << 20
-AHEAD = 1  # attempts for which room is kept beyond those on record
+MAX_RECORD_BYTES = 1 << 20
+RELAYS_RESERVED = 1  # relays for which space is reserved beyond those on record
 
 
 class Custody(msgspec.Struct, frozen=True, array_like=True):
-    """The book that a message is copied in, and how many copies each promise on it waits for."""
+    """The book that a message is copied in, and the number of copies that each promise on it waits for."""
 
     book: str
     acks: int
 
 
 class AcceptedMessage(msgspec.Struct, tag="taken", frozen=True, array_like=True):
-    """A message that is owed its end. Its place in the file is its place in its key's order."""
+    """A message was accepted and needs a final outcome. A key's order is that of these records."""
 
     ref: str
     destination: int
@@ -41,21 +42,21 @@
     idempotency_key: str | None = None
     is_retry: bool = False
     body: bytes = b""
-    legacy_file: str | None = None  # the file that holds the body, where an earlier version wrote it
-    checksum: int = 0  # of a body that stands apart so
+    legacy_file: str | None = None  # name of a file with the body alone, as an earlier version wrote it
+    checksum: int = 0  # CRC-32 of the body in `legacy_file`
     place: Place | None = None  # of a body in the store
-    unkept: bool = False  # its body is in memory for one relay, and nowhere else
-    at: datetime | None = None  # when it was handed in
-    rules: Rules | None = None  # that it was taken under; none in the records of an earlier version
-    custody: Custody | None = None  # none: this journal alone has it
+    unkept: bool = False  # the body is only in memory, for one relay
+    at: datetime | None = None  # when the message was handed in
+    rules: Rules | None = None  # in force when it was accepted; None in records of an earlier version
+    custody: Custody | None = None  # None: only this journal has the message
 
     def body_size(self) -> int:
-        """Bytes of its body, in its record or in the store; 0 where it is not kept."""
+        """Return the bytes of the body in the record or in the store; 0 if it is not stored."""
         return self.place.size if self.place is not None else len(self.body)
 
 
 class RelayStarted(msgspec.Struct, tag="opened", frozen=True, array_like=True):
-    """A relay is about to write its first byte: from now on it may have run."""
+    """A relay is about to write its first byte: from here on the request may have run."""
 
     ref: str
     number: int
@@ -64,7 +65,7 @@
 
 
 class RelayFailed(msgspec.Struct, tag="closed", frozen=True, array_like=True):
-    """A relay has ended without delivery."""
+    """A relay ended without delivery."""
 
     ref: str
     number: int
@@ -72,32 +73,32 @@
 
 
 class MessageEnded(msgspec.Struct, tag="ended", frozen=True, array_like=True):
-    """A message is over here. Unless nothing is owed any more, a notice has still to be answered."""
+    """A message has its final outcome. Some outcomes require a notice, which has still to be answered."""
 
     ref: str
-    outcome: str  # a notice's word, or "delivered" or "withdrawn"
+    outcome: str  # a notice's outcome, or "delivered" or "withdrawn"
     retry_in_ms: int | None = None
 
     def owes_notice(self) -> bool:
-        """Whether the platform is still to be told."""
+        """Return whether the platform has still to be notified."""
         return self.outcome in ("given_up", "handed_back")
 
 
 class NoticeAnswered(msgspec.Struct, tag="noticed", frozen=True, array_like=True):
-    """A message's notice was answered."""
+    """The platform answered a message's notice."""
 
     ref: str
 
 
 class RelaysCounted(msgspec.Struct, tag="counted", frozen=True, array_like=True):
-    """So many relays there were by then; those that no other record names never ran."""
+    """The number of relays so far. Those without records of their own never ran."""
 
     ref: str
     count: int
 
 
 class BodyMoved(msgspec.Struct, tag="moved", frozen=True, array_like=True):
-    """A message's body stands elsewhere in the store from now on."""
+    """A message's body was copied to another place in the store."""
 
     ref: str
     place: Place
@@ -109,24 +110,26 @@
 
 
 class Entry(msgspec.Struct):
-    """What the journal knows of one message."""
+    """What the journal's records say about one message."""
 
     message: AcceptedMessage
-    message_record_size: int  # of the first record
+    message_record_size: int  # bytes of the message's first record
     started: dict[int, RelayStarted] = {}
     failed: dict[int, RelayFailed] = {}
-    counted_relays: int = 0  # relays, those that never ran among them: nothing else is kept of these
+    counted_relays: int = 0  # includes relays that never ran, of which no other record is kept
     ended: MessageEnded | None = None
 
     def size(self) -> int:
-        """Bytes to keep for its records, those that may follow among them."""
+        """Return the bytes to reserve for the message's records, those that may follow included."""
         ref = self.message.ref
         return (
-            self.message_record_size + end_room(ref) + (AHEAD + len(self.started)) * relay_record_bytes(ref)
+            self.message_record_size
+            + end_record_bytes(ref)
+            + (RELAYS_RESERVED + len(self.started)) * relay_record_bytes(ref)
         )
 
     def records(self) -> Iterator[Record]:
-        """The fewest records that say the same."""
+        """Yield the fewest records that give the same entry."""
         yield self.message
         yield from self.started.values()
         yield from self.failed.values()
@@ -136,27 +139,27 @@
             yield self.ended
 
     def count(self) -> int:
-        """How many relays there were, as far as any left a trace."""
+        """Return the number of relays so far, as far as records tell."""
         return max(self.counted_relays, max(self.started, default=-1) + 1)
 
     def may_have_run(self, number: int) -> bool:
-        """A relay that was open at the end of the process may have run."""
-        closed = self.failed.get(number)
-        return closed.ran if closed is not None else number in self.started
+        """Return whether a relay may have run; one that was in progress when the process ended may have."""
+        failed = self.failed.get(number)
+        return failed.ran if failed is not None else number in self.started
 
 
 def rebase_future_times(entry: Entry, now: datetime) -> bool:
-    """Whether a message was handed in after `now`, by a clock that has been set back since.
+    """Move the times of a message that was handed in after `now` back to `now`; return whether it was.
 
-    Its times are moved back to it: it lives no longer than it was given.
+    This happens when the wall clock was set back. The message keeps the time to live that it was given.
     """
     message = entry.message
     if message.at is None or message.at <= now:
         return False
-    late = message.at - now
-    entry.message = msgspec.structs.replace(message, at=now, ends_at=message.ends_at - late)
-    for number, opened in entry.started.items():
-        entry.started[number] = msgspec.structs.replace(opened, at=min(now, opened.at))
+    ahead = message.at - now
+    entry.message = msgspec.structs.replace(message, at=now, ends_at=message.ends_at - ahead)
+    for number, started in entry.started.items():
+        entry.started[number] = msgspec.structs.replace(started, at=min(now, started.at))
     return True
 
 
@@ -165,7 +168,7 @@
 
 
 def frame(record: Record) -> bytes:
-    """A record as it stands in the file."""
+    """Encode a record as a frame of the file. A body that is stored elsewhere or not at all is left out."""
     if isinstance(record, AcceptedMessage) and (record.legacy_file or record.unkept):
         record = msgspec.structs.replace(record, body=b"")
     body = _encode(record)
@@ -173,29 +176,29 @@
 
 
 def relay_record_bytes(ref: str) -> int:
-    """Bytes that one relay may take: its beginning, with its host's name, and its end."""
+    """Return the most bytes that one relay's records take: its start, with the host's name, and its end."""
     return 2 * len(ref) + 160
 
 
-def end_room(ref: str) -> int:
-    """Bytes that a message's end may take, the answer to its notice and the count of its relays included."""
+def end_record_bytes(ref: str) -> int:
+    """Return the most bytes that a message's end takes, its notice's answer and the relay count included."""
     return 3 * (len(ref) + 48)
 
 
 def bytes_to_reserve(message: AcceptedMessage) -> int:
-    """Bytes to keep for a message not taken on yet; a body in the store is not among them."""
+    """Return the bytes to reserve for a message that is not accepted yet, without a body in the store."""
     return Entry(message, len(frame(message))).size()
 
 
 def read_frames(data: bytes) -> Iterator[Record | int]:
-    """The records of a file; a whole number stands for so many bytes that are none, passed over."""
+    """Yield the records of a file. An int stands for that many damaged bytes, which are skipped."""
     at, lost = 0, 0
     while at < len(data):
         record = None
         if data.startswith(MAGIC, at) and at + FRAME.size <= len(data):
             _, length, checksum = FRAME.unpack_from(data, at)
             body = data[at + FRAME.size : at + FRAME.size + length]
-            if length <= MOST_RECORD and len(body) == length and zlib.crc32(body) == checksum:
+            if length <= MAX_RECORD_BYTES and len(body) == length and zlib.crc32(body) == checksum:
                 try:
                     record = _decode(body)
                 except msgspec.DecodeError:
@@ -215,7 +218,7 @@
 
 
 def replay(data: bytes) -> tuple[dict[str, Entry], int]:
-    """What a file's bytes leave live, in order, and how many of them are damaged."""
+    """Return the live entries that a file's bytes describe, in order, and the number of damaged bytes."""
     live: dict[str, Entry] = {}
     damaged = 0
     for item in read_frames(data):
@@ -227,7 +230,7 @@
 
 
 def apply(live: dict[str, Entry], record: Record) -> int:
-    """Let one record change what is live; how many bytes of room that takes."""
+    """Update the live entries by one record; return the change in reserved bytes."""
     entry = live.get(record.ref)
     if isinstance(record, AcceptedMessage):
         entry = live[record.ref] = Entry(record, len(frame(record)))
@@ -240,17 +243,17 @@
     elif isinstance(record, RelayFailed) and record.ran:
         entry.failed[record.number] = record
     elif isinstance(record, RelayFailed):
-        # Most relays that are tried again were turned away: kept whole, they filled the disk.
+        # Most relays that are retried were rejected. Keeping a record of each filled the disk.
         entry.started.pop(record.number, None)
         entry.counted_relays = max(entry.counted_relays, record.number + 1)
     elif isinstance(record, RelaysCounted):
         entry.counted_relays = max(entry.counted_relays, record.count)
     elif isinstance(record, BodyMoved):
-        if entry.message.place is not None:  # else it is over, and its notice is all that is owed
+        if entry.message.place is not None:  # otherwise it has ended, and only its notice is unanswered
             entry.message = msgspec.structs.replace(entry.message, place=record.place)
             entry.message_record_size = len(frame(entry.message))
     elif isinstance(record, MessageEnded) and record.owes_notice():
-        # What ends by a notice keeps its place, for its key's sake, but needs its body no more.
+        # A message that ends with a notice keeps its position in the key's order, but not its body.
         entry.ended = record
         entry.message = msgspec.structs.replace(
             entry.message, body=b"", legacy_file=None, place=None, unkept=False
