--- a/willownotch/files/__init__.py
+++ b/willownotch/files/__init__.py
@@ -1,7 +1,7 @@
-"""The file system as the sender uses it: few calls, each of which can be made to fail.
+"""File system access for the sender: a few operations, each of which a test can make fail.
 
-Enters: paths, bytes. Leaves: bytes, sizes, `OSError`. It decides nothing and retries nothing. The journal and
-the body store reach the disk through `Files` alone, so that a test can refuse, tear, stall or end the process
-at any of their operations (`willownotch.files.faulty`). `space` shares one limit between them, without any
-I/O.
+Input: paths and bytes. Output: bytes, sizes, `OSError`. Nothing here retries or decides anything. The journal
+and the body store access the disk only through `Files`, so that a test can make any operation run out of
+space, write in part, stall or kill the process (`willownotch.files.faulty`). `space` divides one disk limit
+between the two without any I/O.
 """
--- a/willownotch/files/faulty.py
+++ b/willownotch/files/faulty.py
@@ -1,7 +1,7 @@
-"""A file system that fails on demand: no space, I/O errors, short writes, stalls, death at the Nth operation.
+"""A file system that fails on demand: no space, I/O errors, short writes, stalls, kills at the Nth operation.
 
-A stand-in for tests and rigs, never loaded by `serve`. Operations are numbered from 1 in the order in which
-they are begun. After SQLite's tests: fail at the Nth operation, for every N.
+For tests and rigs only; `serve` never imports it. Operations are numbered from 1 in the order in which they
+begin. Like SQLite's tests, a test can fail the Nth operation for every N.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 from willownotch.files.layer import Files
 
-STALL_STEP_S = 0.005  # s between two looks whether a stall is over
+STALL_POLL_S = 0.005  # interval at which a stalled operation checks whether the fault was lifted
 
 
 class Kind(Enum):
-    """What goes wrong."""
+    """Kind of failure."""
 
     NO_SPACE = "no-space"
     IO_ERROR = "io-error"
-    SHORT = "short"  # a write that takes half of what it is given
-    STALL = "stall"  # the operation waits for as long as the fault stands
+    SHORT = "short"  # a write that accepts only half of its data
+    STALL = "stall"  # the operation blocks for as long as the fault is set
     DIE = "die"  # SIGKILL to this process, before the operation
-    DIE_TORN = "die-torn"  # the same after half of a write
+    DIE_TORN = "die-torn"  # SIGKILL to this process after half of a write
 
 
 ERRNO = {Kind.NO_SPACE: errno.ENOSPC, Kind.IO_ERROR: errno.EIO}
@@ -39,22 +39,22 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """A kind of failure, for operations and file names by pattern, or for one operation by its number."""
+    """A failure of operations and file names that match patterns, or of one operation by its number."""
 
     kind: Kind
     operation: str = "*"
     name: str = "*"
     number: int | None = None
 
-    def strikes(self, operation: str, name: str, number: int) -> bool:
-        """Whether it befalls this operation."""
+    def matches(self, operation: str, name: str, number: int) -> bool:
+        """Return whether the fault applies to this operation."""
         if self.number is not None and self.number != number:
             return False
         return fnmatch(operation, self.operation) and fnmatch(name, self.name)
 
 
 def read_faults(text: str) -> list[Fault]:
-    """A line for each fault: `kind operation name [number]`."""
+    """Parse faults, one per line: `kind operation name [number]`."""
     faults = []
     for line in text.splitlines():
         kind, operation, name, *number = line.split()
@@ -63,7 +63,10 @@
 
 
 def from_file(path: Path) -> Callable[[], list[Fault]]:
-    """Faults as a file has them at the moment: a test writes and removes it while another process runs."""
+    """Return a function that reads the current faults from a file.
+
+    A test writes and removes the file while another process runs; no file means no faults.
+    """
 
     def read() -> list[Fault]:
         try:
@@ -75,8 +78,10 @@
 
 
 class Faulty(Files):
-    """Asks `faults` before each operation. `trail` has (number, operation, file name) of all that were
-    begun."""
+    """Calls `faults` before each operation and applies the first one that matches.
+
+    `operations` records (number, operation, file name) of every operation begun.
+    """
 
     def __init__(
         self,
@@ -89,20 +94,23 @@
         self.count = 0
         self.operations: list[tuple[int, str, str]] = []
         self._lock = threading.Lock()
-        self._names: dict[int, str] = {}  # of open descriptors
+        self._names: dict[int, str] = {}  # file names by open descriptor
 
     def _begin(self, operation: str, name: str) -> Kind | None:
-        """Count an operation; raise, stall or die as is due. A short or torn write is left to the caller."""
+        """Count an operation; raise, stall or kill the process if a fault matches.
+
+        Returns the kind of a short or torn write, which the caller carries out; None if no fault matches.
+        """
         with self._lock:
             self.count += 1
             number = self.count
             self.operations.append((number, operation, name))
         if self.begun:
             self.begun(number, operation, name)
-        while kinds := [f.kind for f in self.faults() if f.strikes(operation, name, number)]:
+        while kinds := [f.kind for f in self.faults() if f.matches(operation, name, number)]:
             kind = kinds[0]
             if kind is Kind.STALL:
-                time.sleep(STALL_STEP_S)
+                time.sleep(STALL_POLL_S)
                 continue
             if kind is Kind.DIE or (kind is Kind.DIE_TORN and operation not in WRITES):
                 self.die()
@@ -191,6 +199,6 @@
         super().remove(path)
 
     def close(self, file: int) -> None:
-        """See `Files`; never fails: a descriptor is gone in any case."""
+        """See `Files`; never fails, as the descriptor is released in any case."""
         self._names.pop(file, None)
         super().close(file)
--- a/willownotch/files/replacing.py
+++ b/willownotch/files/replacing.py
@@ -1,4 +1,4 @@
-"""A small file that is replaced whole: after a kill it has the old content or the new one."""
+"""Atomic replacement of a small file: after a kill it has either the old content or the new one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def replace_file(files: Files, path: Path, data: bytes) -> None:
-    """Write `data` to a new file beside `path` and let it take that one's place; `OSError` if that fails."""
+    """Write `data` to a temporary file beside `path` and rename it to `path`; raise `OSError` on failure."""
     new = path.with_name(path.name + ".new")
     file = files.create(new)
     try:
@@ -18,7 +18,7 @@
         try:
             files.remove(new)
         except OSError:
-            pass  # the next one empties it
+            pass  # the next call truncates it
         raise
     finally:
         files.close(file)
