--- a/tests/test_bodies_plan.py
+++ b/tests/test_bodies_plan.py
@@ -6,10 +6,10 @@
 
 from willownotch.bodies import plan
 from willownotch.bodies.plan import (
+    CachedDestination,
     Candidate,
     DeliveryForecast,
     Limits,
-    Line,
     SegmentView,
     Step,
     Steps,
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize(("step", "most"), [(Step.MEMORY, 100), (Step.FILES, 10), (Step.UNKEPT, 10)])
 def test_small_bodies_stand_in_their_records(step, most):
-    assert plan.inline_most(step, LIMITS) == most
+    assert plan.max_inline_bytes(step, LIMITS) == most
 
 
 CANDIDATES = [
@@ -167,7 +167,7 @@
                 assert found.verdict in (KEEP, DROP)
             else:
                 there = [b.size for b in others if found.destination in (None, b.destination)]
-                assert sum(sorted(there, reverse=True)[: plan.VICTIMS_MOST]) < found.bytes_needed
+                assert sum(sorted(there, reverse=True)[: plan.MAX_VICTIMS]) < found.bytes_needed
         if found.verdict is KEEP:
             bodies[body.ref] = body
             held.add(cls, destination, size)
@@ -187,24 +187,24 @@
         held.memory = min(level, LIMITS.memory)
         held.total = held.memory
         if level > LIMITS.memory:
-            if steps.memory_ran_out():
+            if steps.set_memory_full():
                 assert last != "in"
                 last = "in"
-            steps.room_ran_out()
-        elif steps.look(LIMITS, held):
+            steps.set_disk_full()
+        elif steps.update(LIMITS, held):
             assert held.memory <= LIMITS.room_low
-        if not steps.memory_out:
+        if not steps.memory_full:
             last = "out"
-        assert (steps.now is Step.MEMORY) == (not steps.memory_out and not steps.full)
+        assert (steps.current is Step.MEMORY) == (not steps.memory_full and not steps.disk_full)
         if LIMITS.memory_low < level <= LIMITS.memory:
-            assert not steps.look(LIMITS, held) or level <= LIMITS.room_low
+            assert not steps.update(LIMITS, held) or level <= LIMITS.room_low
 
 
 def test_where_a_body_leaves_memory_first():
-    lines = [Line(1, 2.0), Line(2, 9.0), Line(3, 9.0)]
-    assert plan.spill_from(lines, 5.0) == 2
-    assert plan.spill_from(lines, 9.0) is None  # the new one is wanted last: it goes to its file at once
-    assert plan.spill_from([], 0.0) is None
+    lines = [CachedDestination(1, 2.0), CachedDestination(2, 9.0), CachedDestination(3, 9.0)]
+    assert plan.choose_spill(lines, 5.0) == 2
+    assert plan.choose_spill(lines, 9.0) is None  # the new one is wanted last: it goes to its file at once
+    assert plan.choose_spill([], 0.0) is None
 
 
 def test_when_a_destination_wants_its_next_body():
--- a/tests/test_bodies_store.py
+++ b/tests/test_bodies_store.py
@@ -55,7 +55,7 @@
         steps = set()
         for n in range(40):
             found = rig.hand_in(f"s{n}", 9000, destination=n)
-            steps.add(rig.bodies.steps.now)
+            steps.add(rig.bodies.steps.current)
             if isinstance(found, Admission):
                 break
             self.assertLessEqual(rig.bodies.usage.memory, 50_000)
@@ -66,7 +66,7 @@
             self.assertEqual(rig.read(ref), body_of(ref, 9000), entry)
         for ref in list(rig.journal.live):
             rig.end(ref)
-        self.assertEqual((rig.bodies.steps.now, rig.bodies.usage.memory), (Step.MEMORY, 0))
+        self.assertEqual((rig.bodies.steps.current, rig.bodies.usage.memory), (Step.MEMORY, 0))
         self.assertEqual(
             [line.split(":")[1].strip() for line in rig.log.lines if "step" in line],
             ["step files", "step unkept", "step files", "step memory"],
@@ -97,7 +97,7 @@
     def test_what_is_worth_more_asks_for_room_where_others_have_it(self):
         rig = self.rig(destination_share=1.0)
         n = 0
-        while not rig.bodies.steps.full:
+        while not rig.bodies.steps.disk_full:
             rig.hand_in(f"s{n}", 9000, destination=n % 3)
             n += 1
         found = rig.hand_in("fee", 9000, "fee", destination=9)
@@ -280,7 +280,9 @@
         self.faults = []
         rig.clock.at += timedelta(seconds=1)
         self.assertIsNotNone(rig.hand_in("after", 9000, "fee").place)
-        self.assertEqual((rig.bodies.steps.now, rig.read("before")), (Step.MEMORY, body_of("before", 9000)))
+        self.assertEqual(
+            (rig.bodies.steps.current, rig.read("before")), (Step.MEMORY, body_of("before", 9000))
+        )
         self.ledger_is_true(rig)
 
     def test_a_short_write_goes_on_and_a_torn_one_leaves_nothing(self):
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -200,7 +200,7 @@
         )(),
     )
     decision_loop.client_side = rig.client_side
-    bodies = type("Bodies", (), {"freeze": lambda self: None, "thaw": lambda self, halted=False: None})()
+    bodies = type("Bodies", (), {"freeze": lambda self: None, "thaw": lambda self, stop=False: None})()
     monkeypatch.setattr("willownotch.handover.pickled.write", lambda state: b"state")
     predecessor = Predecessor(
         tmp_path,
--- a/willownotch/bodies/__init__.py
+++ b/willownotch/bodies/__init__.py
@@ -1,10 +1,10 @@
-"""Bodies kept for retries: in memory up to a set size, then in files only, then not at all.
+"""Storage of message bodies for retries: in memory up to a limit, then only in files, then not at all.
 
-Enters: a body with its class and destination, before its message is taken on; the end of each message.
-Leaves: the place where it is kept, its bytes when a relay needs them, and which messages have to make room.
-It must not decide where or whether a message is sent, tell an ending itself, or block the owner's thread:
-files are written and reclaimed on a thread of its own, and read by the relay's worker.
+Input: a body with its class and destination, before its message is accepted; the end of each message.
+Output: where the body is stored, its bytes when a relay needs them, and which messages have to make room.
+It never decides where or whether a message is sent, never reports an outcome itself, and never blocks the
+decision loop: files are written and reclaimed on the store's own thread, and read by the relay's worker.
 
-`plan` has the decisions and no I/O, `settings` the block of the settings file, `store` the thread and the
+`plan` has the decisions without I/O, `settings` the block of the settings file, `store` the thread and the
 files.
 """
--- a/willownotch/bodies/show.py
+++ b/willownotch/bodies/show.py
@@ -1,4 +1,4 @@
-"""`willownotch bodies FOLDER`: what is kept there, by class, destination, step and age. It only reads."""
+"""`willownotch bodies FOLDER`: the bodies of a folder by class, destination, step and age. Read-only."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Row(msgspec.Struct):
-    """Bodies that share class, destination and where they stand; ages in seconds."""
+    """Bodies with the same class, destination and storage; ages in seconds."""
 
     message_class: str
     destination: int
@@ -26,7 +26,10 @@
 
 
 class Kept(msgspec.Struct):
-    """A folder's bodies. `damaged`: messages whose body is missing, cut off or, if read, not as written."""
+    """The bodies of a folder.
+
+    `damaged` lists messages whose body is missing, truncated or, if bodies were read, of another checksum.
+    """
 
     rows: list[Row]
     files: int
@@ -36,7 +39,7 @@
 
 
 def step_of(message: AcceptedMessage) -> str:
-    """Where a body stands, as far as the folder tells: what is in memory beside its file is not seen."""
+    """Return where a body is stored, as far as the folder shows: a cached copy in memory is not seen."""
     if message.unkept:
         return "unkept"
     if message.place is not None or message.legacy_file:
@@ -44,10 +47,10 @@
     return "record"
 
 
-def collect(owed: Iterable[AcceptedMessage], now: datetime) -> list[Row]:
-    """The table, largest first."""
+def collect(messages: Iterable[AcceptedMessage], now: datetime) -> list[Row]:
+    """Return the rows, largest first."""
     rows: dict[tuple[str, int, str], Row] = {}
-    for message in owed:
+    for message in messages:
         step = step_of(message)
         row = rows.setdefault(
             (message.message_class, message.destination, step),
@@ -62,13 +65,13 @@
     return sorted(rows.values(), key=lambda r: (-r.bytes, r.message_class, r.destination, r.step))
 
 
-def look(folder: Path, owed: list[AcceptedMessage], now: datetime, verify: bool = False) -> Kept:
-    """Read a folder; with `verify` every body is read and its checksum compared."""
+def look(folder: Path, messages: list[AcceptedMessage], now: datetime, verify: bool = False) -> Kept:
+    """Summarise a folder; with `verify` every body is read and its checksum compared."""
     found = ((f.name[len(PREFIX) :], f) for f in folder.glob(f"{PREFIX}*"))
     files = {int(number): file for number, file in found if number.isdigit()}
     sizes = {number: file.stat().st_size for number, file in files.items()}
     damaged = []
-    for message in owed:
+    for message in messages:
         place = message.place
         missing = message.legacy_file and not (folder / message.legacy_file).exists()
         if missing or (place is not None and sizes.get(place.segment, -1) < place.offset + place.size):
@@ -78,12 +81,12 @@
                 file.seek(place.offset)
                 if checksum(file.read(place.size)) != place.checksum:
                     damaged.append(message.ref)
-    live = sum(message.place.size for message in owed if message.place is not None)
-    return Kept(collect(owed, now), len(files), sum(map(round_to_blocks, sizes.values())), live, damaged)
+    live = sum(message.place.size for message in messages if message.place is not None)
+    return Kept(collect(messages, now), len(files), sum(map(round_to_blocks, sizes.values())), live, damaged)
 
 
 def table(kept: Kept) -> str:
-    """The same for people."""
+    """Format the summary for people."""
     lines = [f"{'class':<16} {'dest':>6} {'step':<7} {'bodies':>7} {'bytes':>12} {'age':>17}"]
     for row in kept.rows:
         age = "-" if row.oldest_s is None else f"{row.youngest_s:.1f} to {row.oldest_s:.1f} s"
--- a/willownotch/handover/predecessor.py
+++ b/willownotch/handover/predecessor.py
@@ -167,7 +167,7 @@
             if given:  # before anybody is let go: what is handed on from now on has where to go
                 self.decision_loop.forward = self._forwarder(link)
                 self.client_side.redirect(self._passing.pass_on)
-            self.bodies.thaw(halted=given)
+            self.bodies.thaw(stop=given)
             order.decided.put(given)
             if not given:
                 self.lifecycle.tell(Event.HAND_OVER_FAILED, self.clock.now())
