--- a/willownotch/handover/__init__.py
+++ b/willownotch/handover/__init__.py
@@ -1,7 +1,7 @@
-"""One process hands everything over to the next, under load, on the same addresses and the same folder.
+"""Upgrade without downtime: one process hands its state over to the next, under load, on the same addresses.
 
-In: another process that asks (`predecessor`), or one that holds the folder already (`successor`). Out: the
-state (all that the owner knows), the listening socket, open connections, and the ends of calls that were out.
-`wire` cuts frames and opens nothing. Nothing here decides about messages, and nothing is written by a process
-that does not hold the folder's lock.
+Input: another process that asks for the state (`predecessor`), or one that holds the folder (`successor`).
+Output: the state (all that the decision loop knows), the listening socket, open connections, and the results
+of calls that were in progress. `wire` cuts frames out of a stream and opens nothing. Nothing here decides
+about messages, and a process that does not hold the folder's lock writes nothing.
 """
--- a/willownotch/handover/pickled.py
+++ b/willownotch/handover/pickled.py
@@ -1,4 +1,4 @@
-"""An state as bytes, read back with care. Loaded only when one is handed over."""
+"""The handed-over state as a pickle, read with restrictions. Imported only when a state is handed over."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from willownotch.handover.state import HandoverState
 
-# Whatever else a pickle names is refused: these and our own classes are all that an state is made of.
+# The classes that a state consists of, besides those of this package. A pickle that names others is refused.
 ALLOWED = {
     ("builtins", "set"),
     ("builtins", "frozenset"),
@@ -22,30 +22,30 @@
     ("copyreg", "_reconstructor"),
     ("builtins", "object"),
 }
-OURS = "willownotch."
+OWN_PREFIX = "willownotch."
 
 
 class _Reader(pickle.Unpickler):
     def find_class(self, module: str, name: str) -> type:
-        if (module, name) not in ALLOWED and not module.startswith(OURS):
-            raise pickle.UnpicklingError(f"{module}.{name} is no part of an state")
+        if (module, name) not in ALLOWED and not module.startswith(OWN_PREFIX):
+            raise pickle.UnpicklingError(f"{module}.{name} is not allowed in a state")
         found = super().find_class(module, name)
-        if module.startswith(OURS) and not isinstance(found, type):
-            raise pickle.UnpicklingError(f"{module}.{name} is no class")
+        if module.startswith(OWN_PREFIX) and not isinstance(found, type):
+            raise pickle.UnpicklingError(f"{module}.{name} is not a class")
         return found
 
 
 def write(state: HandoverState) -> bytes:
-    """As bytes."""
+    """Encode a state."""
     return pickle.dumps(state, protocol=5)
 
 
 def read(data: bytes) -> HandoverState:
-    """Read back; `ValueError` if it is none."""
+    """Decode a state; `ValueError` if the bytes are not one."""
     try:
         found = _Reader(io.BytesIO(data)).load()
-    except Exception as fault:  # a pickle that is off can raise anything
+    except Exception as fault:  # a malformed pickle can raise anything
         raise ValueError(f"the state cannot be read: {fault}") from None
     if not isinstance(found, HandoverState):
-        raise ValueError("the state is none")
+        raise ValueError("the data is not a state")
     return found
