--- a/tests/body_store_crashes.py
+++ b/tests/body_store_crashes.py
@@ -1,8 +1,8 @@
-"""Plays a story of the body store in children that die at their Nth file operation; checks what is left.
+"""Runs a body store scenario in processes that die at their Nth file operation; checks the folders.
 
-    python tests/dying.py MODE EVERY      # MODE: die, die-torn; at every EVERYth operation
+    python tests/body_store_crashes.py MODE EVERY      # MODE: die, die-torn; at every EVERYth operation
 
-Prints JSON: the operations of the whole story, the deaths caused, the promises broken.
+Prints JSON: the number of operations in the scenario, of deaths caused, and the errors found.
 """
 
 import json
@@ -21,56 +21,56 @@
 from willownotch.journal.records import AcceptedMessage  # noqa: E402
 
 
-def story(folder, files, say):
-    """Hand-ins, ends, reclaiming, a restart, the same again. A promise is said once it is on record."""
+def run_scenario(folder, files, report):
+    """Hand messages in, end them, reclaim and restart, twice. `report` gets a line after each record."""
     rig = Rig(files, folder=folder, disk=220_000, destination_share=1.0, memory=9000, reclaim=0.2)
-    for turn in range(2):
+    for round_number in range(2):
         for n in range(14):
-            ref, size = f"t{turn}m{n}", 1000 + 700 * n
+            ref, size = f"t{round_number}m{n}", 1000 + 700 * n
             if isinstance(rig.hand_in(ref, size, "fee" if n % 5 else "order"), AcceptedMessage):
-                say(f"owed {ref} {size}")
+                report(f"accepted {ref} {size}")
             if n % 3 == 2 and ref in rig.journal.live:
                 rig.relay(ref)
                 assert rig.read(ref) == body_of(ref, size)
         for n in range(14):
-            if n % 4 and f"t{turn}m{n}" in rig.journal.live:
-                say(f"ending t{turn}m{n}")
-                rig.end(f"t{turn}m{n}")
-                say(f"ended t{turn}m{n}")
+            if n % 4 and f"t{round_number}m{n}" in rig.journal.live:
+                report(f"ending t{round_number}m{n}")
+                rig.end(f"t{round_number}m{n}")
+                report(f"ended t{round_number}m{n}")
         rig.work()
         assert rig.bodies.moves
-        if not turn:
+        if not round_number:
             rig.restart()
     rig.restart()
 
 
-def play(folder, faults):
-    """The story in a child; what it said, how it ended, and its operations where it lived."""
-    reading, writing = os.pipe()
-    child = os.fork()
-    if not child:
-        os.close(reading)
+def run_child(folder, faults):
+    """Run the scenario in a child process; return the lines that it reported, split, and its wait status."""
+    read_end, write_end = os.pipe()
+    child_pid = os.fork()
+    if not child_pid:
+        os.close(read_end)
         try:
             files = Faulty(lambda: faults)
-            story(folder, files, lambda text: os.write(writing, f"{text}\n".encode()))
-            os.write(writing, f"operations {files.count}\n".encode())
+            run_scenario(folder, files, lambda text: os.write(write_end, f"{text}\n".encode()))
+            os.write(write_end, f"operations {files.count}\n".encode())
             os._exit(0)
         except BaseException as fault:
-            os.write(writing, f"error {type(fault).__name__} {fault} {traceback.format_exc()!r}\n".encode())
+            os.write(write_end, f"error {type(fault).__name__} {fault} {traceback.format_exc()!r}\n".encode())
             os._exit(1)
-    os.close(writing)
-    with os.fdopen(reading, encoding="utf-8") as lines:
-        said = [line.split(maxsplit=2) for line in lines]
-    _, status = os.waitpid(child, 0)
-    return said, status
-
-
-def broken(folder, said):
-    """What the next process does not find as it was promised."""
-    owed, ending, ended = {}, set(), set()
-    for word, ref, *rest in said:
-        if word == "owed":
-            owed[ref] = int(rest[0])
+    os.close(write_end)
+    with os.fdopen(read_end, encoding="utf-8") as lines:
+        reported = [line.split(maxsplit=2) for line in lines]
+    _, status = os.waitpid(child_pid, 0)
+    return reported, status
+
+
+def check(folder, reported):
+    """Return what the next process finds to differ from the reported lines."""
+    accepted, ending, ended = {}, set(), set()
+    for word, ref, *rest in reported:
+        if word == "accepted":
+            accepted[ref] = int(rest[0])
         elif word == "ending":
             ending.add(ref)
         elif word == "ended":
@@ -78,18 +78,18 @@
     rig, found = Rig(folder=folder, disk=220_000, destination_share=1.0), []
     if rig.lost:
         found.append(f"lost {rig.lost}")
-    for ref in owed:
+    for ref in accepted:
         if ref in ended and ref in rig.journal.live:
-            found.append(f"{ref} is owed though it has ended")
+            found.append(f"{ref} is still live although it has ended")
         if ref not in ending and ref not in rig.journal.live:
-            found.append(f"{ref} is not owed")
-    order = [ref for ref in rig.journal.live if ref in owed]
-    if order != [ref for ref in owed if ref in rig.journal.live]:
+            found.append(f"{ref} is not live")
+    order = [ref for ref in rig.journal.live if ref in accepted]
+    if order != [ref for ref in accepted if ref in rig.journal.live]:
         found.append(f"out of order: {order}")
     for ref, entry in rig.journal.live.items():
-        size = owed.get(ref, entry.message.place.size if entry.message.place else len(entry.message.body))
+        size = accepted.get(ref, entry.message.place.size if entry.message.place else len(entry.message.body))
         if rig.read(ref) != body_of(ref, size):
-            found.append(f"{ref} has another body")
+            found.append(f"{ref} has a wrong body")
     if rig.on_disk() > rig.disk:
         found.append(f"{rig.on_disk()} bytes on the disk")
     for ref in list(rig.journal.live):
@@ -102,20 +102,20 @@
 
 
 def main(mode, every):
-    """All deaths, and the report."""
+    """Run the scenario with a death at each operation, and print the report."""
     with tempfile.TemporaryDirectory() as folder:
-        said, status = play(Path(folder), [])
+        reported, status = run_child(Path(folder), [])
         if status:
-            sys.exit(f"the story does not end by itself: {said[-1]}")
-        operations = int(said[-1][1])
+            sys.exit(f"the scenario fails without faults: {reported[-1]}")
+        operations = int(reported[-1][1])
     deaths, faults = 0, []
     for number in range(1, operations + 1, every):
         with tempfile.TemporaryDirectory() as folder:
-            said, status = play(Path(folder), [Fault(Kind(mode), number=number)])
+            reported, status = run_child(Path(folder), [Fault(Kind(mode), number=number)])
             deaths += os.WIFSIGNALED(status) and os.WTERMSIG(status) == signal.SIGKILL
             if os.WIFEXITED(status) and os.WEXITSTATUS(status):
-                faults.append(f"operation {number}: {said[-1]}")
-            faults += [f"operation {number}: {text}" for text in broken(Path(folder), said)]
+                faults.append(f"operation {number}: {reported[-1]}")
+            faults += [f"operation {number}: {text}" for text in check(Path(folder), reported)]
     print(json.dumps({"operations": operations, "deaths": deaths, "broken": faults}))
 
 
--- a/tests/body_store_rig.py
+++ b/tests/body_store_rig.py
@@ -1,4 +1,4 @@
-"""For tests of the body store without sockets: a folder, a clock set by hand, hand-ins as in the sender."""
+"""A journal and a body store in a folder, with a manual clock and without sockets, for tests."""
 
 import queue
 import tempfile
@@ -21,8 +21,8 @@
 PATIENCE = timedelta(milliseconds=200)
 
 
-class Direct:
-    """The store's queue with no thread: who hands a body in writes it, the rest is done when asked for."""
+class InlineQueue:
+    """The store's queue without its thread: a body is written by `put`, the rest is done by `Rig.work`."""
 
     def __init__(self):
         self.items, self.work = [], None
@@ -40,35 +40,35 @@
 
 
 class Clock(Hand):
-    """Set by hand, in the module's seconds too."""
+    """A manual clock that also converts to the decision module's seconds."""
 
     def __init__(self):
-        self.began = self.at
+        self.started_at = self.at
 
     def module_s(self, when):
-        return (when - self.began).total_seconds()
+        return (when - self.started_at).total_seconds()
 
 
 class Lines:
-    """A log that only remembers."""
+    """A log that keeps its lines in a list."""
 
     def __init__(self):
         self.lines = []
 
-    def say(self, sort, text):
-        self.lines.append(f"{sort}: {text}")
+    def say(self, event, text):
+        self.lines.append(f"{event}: {text}")
 
 
 def body_of(ref, size):
-    """Bytes that tell whose they are."""
+    """Return a body of `size` bytes that is specific to the message."""
     return (f"{ref}." * (size // len(ref) + 1))[:size].encode()
 
 
 class Rig:
-    """Journal and store over a folder; `hand_in`, `end`, `read` as the sender would."""
+    """A journal and a body store over a folder, used as the sender uses them."""
 
     def __init__(self, files=REAL, disk=400_000, folder=None, thread=None, **settings):
-        self.folder = folder or Path(tempfile.mkdtemp(prefix="kept-"))
+        self.folder = folder or Path(tempfile.mkdtemp(prefix="store-"))
         self.files, self.disk, self.thread = files, disk, thread
         self.settings = BodiesSettings(**{"memory": 50_000, "segment": 16_384, **settings})
         self.clock, self.log = Clock(), Lines()
@@ -79,7 +79,7 @@
             self.folder, self.disk, self.files, self.clock, self.log, CLASSES, self.settings
         )
         if self.thread is None:
-            self.bodies._queue = Direct()
+            self.bodies._queue = InlineQueue()
             self.bodies._queue.work = self.bodies.work
         else:
             self.thread(self.bodies.run)
@@ -90,8 +90,8 @@
         return self.start()
 
     def hand_in(self, ref, size, cls="status", destination=7):
-        """The message if it was taken on, else the admission that says why not."""
-        taken = AcceptedMessage(
+        """Return the message if it was accepted, else the admission that says why not."""
+        message = AcceptedMessage(
             ref,
             destination,
             cls,
@@ -100,7 +100,7 @@
             ref,
             body=body_of(ref, size),
         )
-        found = self.bodies.keep(taken, PATIENCE)
+        found = self.bodies.keep(message, PATIENCE)
         if isinstance(found, AcceptedMessage):
             try:
                 self.journal.append([found])
@@ -119,12 +119,12 @@
         return self.bodies.read(self.journal.live[ref].message)
 
     def work(self):
-        """All that the store's thread has to do."""
+        """Do all pending work of the store's thread."""
         while self.bodies.work():
             pass
 
     def on_disk(self):
-        """Bytes as the platform counts them."""
+        """Return the bytes of all files as the platform counts them."""
         return sum(-(-file.stat().st_size // 512) * 512 for file in self.folder.iterdir())
 
     def segments(self):
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -189,13 +189,13 @@
     decision_loop, endpoint_side = (
         Standstill(),
         type(
-            "South",
+            "EndpointSide",
             (),
             {
                 "lend": lambda self, most: [],
                 "waits": {},
                 "leave": lambda self: None,
-                "outside": lambda self: 0,
+                "calls_in_progress": lambda self: 0,
             },
         )(),
     )
--- a/willownotch/bodies/plan.py
+++ b/willownotch/bodies/plan.py
@@ -149,7 +149,7 @@
         return Admission(Verdict.DROP_FIRST, f"{usage.total} of {limits.room} bytes are in use", size - free)
     if disk_full:
         return _at_limit(
-            plan, f"{usage.total} of {limits.room} bytes are in use, more than {limits.room_low}"
+            plan, f"{usage.total} of {limits.room} bytes are in use, more than {limits.room_low} bytes"
         )
     if size <= free - reserved:
         return Admission(Verdict.KEEP)
--- a/willownotch/handover/successor.py
+++ b/willownotch/handover/successor.py
@@ -57,7 +57,7 @@
             try:
                 if (received := self._ask()) is not None:
                     return received
-                why = "it cannot hand over yet"
+                why = "not yet"
             except (OSError, ValueError) as fault:
                 why = str(fault) or type(fault).__name__
             self.log.say("upgrade", f"another process holds the folder, asking it again: {why}")
@@ -104,7 +104,7 @@
         if frame.kind is Kind.PLAIN:
             return ReceivedHandover(link, socket.socket(fileno=frame.fds[0]), None, [])
         if frame.kind is not Kind.STATE:
-            raise BadFrameError(f"unexpected frame {frame.kind.name} in answer to HELLO")
+            raise BadFrameError(f"{frame.kind.name} is not a valid answer to HELLO")
         from willownotch.handover import pickled
 
         state = pickled.read(frame.data)
@@ -191,7 +191,7 @@
             self.link.send(kind, msgspec.msgpack.encode(Adopted(number)))
         except OSError as fault:
             self.log.say(
-                "upgrade", f"{kind.name} could not be sent to the old process for client {number}: {fault}"
+                "upgrade", f"the old process was not sent {kind.name} for client {number}: {fault}"
             )
             return False
         return True
@@ -207,4 +207,4 @@
         elif frame.kind is Kind.WITHDRAWN:
             self.decision_loop.post(Withdraw(msgspec.msgpack.decode(frame.data, type=Withdrawn).ref, None))
         else:
-            raise BadFrameError(f"unexpected frame {frame.kind.name} from the old process")
+            raise BadFrameError(f"{frame.kind.name} is not valid from the old process")
