--- a/tests/test_bodies_store.py
+++ b/tests/test_bodies_store.py
@@ -1,4 +1,4 @@
-"""The body store on its files: places, moves, recovery, a disk that fails, a process that dies."""
+"""The body store with files: steps, reclaiming, recovery, a failing disk, a process that dies."""
 
 import json
 import os
@@ -38,8 +38,8 @@
         self.addCleanup(rig.journal.close)
         return rig
 
-    def ledger_is_true(self, rig):
-        """What the ledger has is what the folder holds."""
+    def check_accounting(self, rig):
+        """The accounted bytes are those of the files, and the usage is that of the live bodies."""
         space = rig.bodies.space
         self.assertEqual(
             space.bodies, sum(-(-file.stat().st_size // 512) * 512 for file in rig.folder.glob("bod*"))
@@ -62,7 +62,7 @@
         self.assertEqual(steps, {Step.MEMORY, Step.FILES, Step.UNKEPT})
         unkept = [e.message.ref for e in rig.journal.live.values() if e.message.unkept]
         self.assertIn("no memory for one try", found.reason)
-        for ref, entry in rig.journal.live.items():  # wherever it stands, its bytes are its own
+        for ref, entry in rig.journal.live.items():  # each body is its own, wherever it is stored
             self.assertEqual(rig.read(ref), body_of(ref, 9000), entry)
         for ref in list(rig.journal.live):
             rig.end(ref)
@@ -72,29 +72,29 @@
             ["step files", "step unkept", "step files", "step memory"],
         )
         rig.work()
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
         self.assertEqual((rig.segments(), bool(unkept)), ([], True))
 
-    def test_small_bodies_stand_in_their_records_until_memory_is_used_up(self):
+    def test_small_bodies_are_stored_in_journal_records_until_memory_is_used_up(self):
         rig = self.rig()
         self.assertIsNone(rig.hand_in("a", 2000).place)
         rig.hand_in("b", 49_000)
         self.assertIsNotNone(rig.hand_in("c", 2000).place)
         self.assertIsNone(rig.hand_in("d", 200).place)
 
-    def test_what_is_wanted_last_leaves_memory_first(self):
+    def test_the_body_needed_last_leaves_memory_first(self):
         rig = self.rig()
         for n in range(5):
-            rig.hand_in(f"silent{n}", 10_000, destination=1)
+            rig.hand_in(f"failing{n}", 10_000, destination=1)
         rig.bodies.observe(1, Outcome.TIMED_OUT)
         rig.clock.at += timedelta(seconds=3)
         for n in range(2):
             rig.hand_in(f"quick{n}", 10_000, destination=2)
-        held = {place for place in rig.bodies._cache}
-        inside = [ref for ref, e in rig.journal.live.items() if e.message.place in held]
-        self.assertEqual(inside, ["silent0", "silent1", "silent2", "quick0", "quick1"])
+        cached_places = {place for place in rig.bodies._cache}
+        cached = [ref for ref, e in rig.journal.live.items() if e.message.place in cached_places]
+        self.assertEqual(cached, ["failing0", "failing1", "failing2", "quick0", "quick1"])
 
-    def test_what_is_worth_more_asks_for_room_where_others_have_it(self):
+    def test_a_more_valuable_class_asks_others_to_make_room(self):
         rig = self.rig(destination_share=1.0)
         n = 0
         while not rig.bodies.steps.disk_full:
@@ -103,11 +103,11 @@
         found = rig.hand_in("fee", 9000, "fee", destination=9)
         self.assertEqual(found.verdict, Verdict.DROP_FIRST)
         rig.end("s0", "handed_back")
-        taken = AcceptedMessage("fee", 9, "fee", "acme", rig.clock.now(), body=body_of("fee", 9000))
-        self.assertIsNotNone(rig.bodies.keep(taken, timedelta(seconds=1), last=True).place)
+        message = AcceptedMessage("fee", 9, "fee", "acme", rig.clock.now(), body=body_of("fee", 9000))
+        self.assertIsNotNone(rig.bodies.keep(message, timedelta(seconds=1), last=True).place)
 
-    def test_an_open_id_with_another_body_never_gets_it(self):
-        """Were bytes in memory found by id, the first's relay would send the second hand-in's."""
+    def test_a_second_hand_in_of_an_id_does_not_replace_the_first_body(self):
+        """If the cache were keyed by id, a relay of the first hand-in would send the body of the second."""
         rig = self.rig()
         rig.hand_in("a", 9000)
         second = AcceptedMessage("a", 7, "status", "acme", rig.clock.now(), body=b"x" * 8000)
@@ -115,11 +115,11 @@
         self.assertEqual(rig.read("a"), body_of("a", 9000))
         rig.bodies.discard(kept)
         self.assertEqual(rig.read("a"), body_of("a", 9000))
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
 
 class Reclaim(Case):
-    def test_segments_that_are_mostly_dead_are_written_anew(self):
+    def test_segments_that_are_mostly_dead_are_reclaimed(self):
         rig = self.rig()
         for n in range(20):
             rig.hand_in(f"m{n}", 4000, destination=n)
@@ -128,7 +128,7 @@
             if n % 4:
                 rig.end(f"m{n}")
         rig.work()
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
         self.assertGreater(rig.bodies.moves, 0)
         self.assertLess(rig.bodies.space.bodies, before / 2)
         live = [f"m{n}" for n in range(0, 20, 4)]
@@ -136,22 +136,22 @@
         rig.restart()
         self.assertEqual([rig.read(ref) for ref in live], [body_of(ref, 4000) for ref in live])
 
-    def test_dead_bytes_give_way_when_room_is_wanted(self):
-        """One live body in each file held up all the room that the dead ones around it took."""
+    def test_dead_bytes_are_reclaimed_when_room_is_needed(self):
+        """One live body in each file kept the space of all the dead ones in it from being freed."""
         rig = self.rig(reclaim=1.0, destination_share=1.0)
-        taken = []
-        while isinstance(found := rig.hand_in(f"m{len(taken)}", 4000, "order"), AcceptedMessage):
-            taken.append(found.ref)
-        for n, ref in enumerate(taken):
+        accepted = []
+        while isinstance(found := rig.hand_in(f"m{len(accepted)}", 4000, "order"), AcceptedMessage):
+            accepted.append(found.ref)
+        for n, ref in enumerate(accepted):
             if n % 4:
                 rig.end(ref)
-        for n in range(len(taken) // 2):
+        for n in range(len(accepted) // 2):
             self.assertIsInstance(rig.hand_in(f"n{n}", 4000, "order"), AcceptedMessage, n)
         self.assertGreater(rig.bodies.moves, 0)
         rig.restart()  # from the files alone
         for ref in rig.journal.live:
             self.assertEqual(rig.read(ref), body_of(ref, 4000))
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
     def test_a_body_that_moves_while_it_is_read_is_found(self):
         rig = self.rig()
@@ -165,24 +165,24 @@
             rig.end(f"m{n}")
         rig.work()
         self.assertNotEqual(rig.journal.live["a"].message.place, old.place)
-        self.assertEqual(rig.bodies.read(old), body_of("a", 4000))  # as a relay has it from before
+        self.assertEqual(rig.bodies.read(old), body_of("a", 4000))  # a relay may have the old place
 
-    def test_a_damaged_body_is_told_and_not_copied(self):
+    def test_a_damaged_body_is_reported_and_not_copied(self):
         rig = self.rig()
         lost = []
         rig.bodies.lost = lost.append
         for n in range(4):
             rig.hand_in(f"m{n}", 4000)
         rig.hand_in("next", 4000)
-        spoil(rig, "m0")
+        corrupt(rig, "m0")
         for n in range(1, 4):
             rig.end(f"m{n}")
         rig.work()
         self.assertEqual(lost, ["m0"])
 
 
-def spoil(rig, ref):
-    """Change one byte of a body on the disk."""
+def corrupt(rig, ref):
+    """Change one byte of a body on disk."""
     place = rig.journal.live[ref].message.place
     rig.bodies._uncache(place, 7)
     with (rig.folder / f"bodies-{place.segment}").open("r+b") as file:
@@ -202,11 +202,11 @@
         self.assertEqual((rig.lost, len(rig.journal.live)), ([], 10))
         self.assertEqual(rig.read("m3"), body_of("m3", 6000))
 
-    def test_half_a_segment_a_missing_file_and_a_damaged_body(self):
+    def test_a_truncated_segment_a_missing_file_and_a_damaged_body(self):
         rig = self.rig()
         for n in range(8):
             rig.hand_in(f"m{n}", 5000)  # three in each file
-        spoil(rig, "m7")
+        corrupt(rig, "m7")
         first, second, _ = rig.segments()
         (rig.folder / first).unlink()
         with (rig.folder / second).open("r+b") as file:
@@ -220,18 +220,18 @@
             rig.end(ref, "given_up")
             rig.journal.append([NoticeAnswered(ref)])
         rig.work()
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
-    def test_what_no_record_names_goes(self):
+    def test_files_that_no_record_names_are_removed(self):
         rig = self.rig()
         (rig.folder / "bodies-77").write_bytes(b"x" * 5000)
         (rig.folder / "body-1-1").write_bytes(b"x")
         rig.restart()
         self.assertEqual([f.name for f in rig.folder.iterdir()], ["journal"])
-        self.ledger_is_true(rig)
-        self.assertEqual(rig.hand_in("a", 5000).place.segment, 78)  # no number is given twice
+        self.check_accounting(rig)
+        self.assertEqual(rig.hand_in("a", 5000).place.segment, 78)  # no number is used twice
 
-    def test_bodies_of_earlier_versions_are_delivered_and_go(self):
+    def test_bodies_of_earlier_versions_are_read_and_removed(self):
         rig = self.rig()
         body = body_of("old", 5000)
         (rig.folder / "body-9-1").write_bytes(body)
@@ -252,9 +252,9 @@
         self.assertEqual(rig.read("old"), body)
         rig.end("old")
         self.assertEqual([f.name for f in rig.folder.iterdir()], ["journal"])
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
-    def test_what_was_never_kept_is_known_to_be_so(self):
+    def test_a_body_that_was_not_stored_is_marked_after_a_restart(self):
         rig = self.rig()
         body = b"x" * 9000
         rig.journal.append(
@@ -267,7 +267,7 @@
 
 
 class Failures(Case):
-    def test_a_full_disk_in_the_middle_of_a_clump_and_room_again(self):
+    def test_a_full_disk_during_a_burst_and_free_space_later(self):
         rig = self.rig()
         rig.hand_in("before", 9000)
         self.faults = [NO_SPACE]
@@ -275,17 +275,17 @@
         self.assertEqual([f.verdict for f in found], [Verdict.REFUSE] * 2)
         self.assertTrue(rig.hand_in("status", 9000).unkept)
         tried = [name for _, op, name in self.files.operations if op == "append" and name.startswith("bod")]
-        self.assertEqual(len(tried), 2)  # the disk is not asked again at once
-        self.ledger_is_true(rig)
+        self.assertEqual(len(tried), 2)  # the disk is not tried again at once
+        self.check_accounting(rig)
         self.faults = []
         rig.clock.at += timedelta(seconds=1)
         self.assertIsNotNone(rig.hand_in("after", 9000, "fee").place)
         self.assertEqual(
             (rig.bodies.steps.current, rig.read("before")), (Step.MEMORY, body_of("before", 9000))
         )
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
-    def test_a_short_write_goes_on_and_a_torn_one_leaves_nothing(self):
+    def test_a_short_write_is_continued_and_a_failed_one_leaves_nothing(self):
         rig = self.rig()
         self.faults = [Fault(Kind.SHORT, "append", "bodies-*")]
         rig.hand_in("a", 9000)
@@ -295,9 +295,9 @@
             Fault(Kind.IO_ERROR, "append", "bodies-*", self.files.count + 2),
         ]
         self.assertIsInstance(rig.hand_in("b", 5000, "fee"), Admission)
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
-    def test_a_file_that_cannot_be_cut_off_takes_nothing_more(self):
+    def test_a_file_that_cannot_be_truncated_is_not_appended_to(self):
         rig = self.rig()
         rig.hand_in("a", 5000)
         self.faults = [
@@ -310,11 +310,11 @@
         rig.clock.at += timedelta(seconds=1)
         place = rig.hand_in("c", 5000, "fee").place
         self.assertNotEqual(place.segment, rig.journal.live["a"].message.place.segment)
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
         for ref in ("a", "c"):
             rig.end(ref)
         rig.work()
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
     def test_a_disk_that_cannot_be_read_for_a_while_loses_nothing(self):
         rig = self.rig(memory=0)
@@ -339,23 +339,23 @@
                 rig.restart()
                 self.assertEqual((list(rig.journal.live), rig.journal.faults), (["a"], []))
 
-    def test_no_hand_in_waits_for_the_disk_longer_than_its_client_would(self):
+    def test_a_hand_in_waits_for_the_disk_no_longer_than_its_patience(self):
         rig = self.rig(write_patience=timedelta(milliseconds=90))
-        for patience, most in [(200, 90), (40, 40)]:
+        for patience, max_wait in [(200, 90), (40, 40)]:
             with mock.patch.object(PendingReply, "wait", autospec=True, return_value=None) as wait:
-                taken = AcceptedMessage("a", 7, "fee", "acme", rig.clock.now(), body=b"x" * 9000)
-                rig.bodies.keep(taken, timedelta(milliseconds=patience))
-            self.assertEqual(wait.call_args[0][1], timedelta(milliseconds=most))
+                message = AcceptedMessage("a", 7, "fee", "acme", rig.clock.now(), body=b"x" * 9000)
+                rig.bodies.keep(message, timedelta(milliseconds=patience))
+            self.assertEqual(wait.call_args[0][1], timedelta(milliseconds=max_wait))
 
-    def test_a_stalled_disk_keeps_nobody_waiting_but_the_stores_thread(self):
-        """Clients are answered in time, and what the owner calls returns at once."""
+    def test_a_stalled_disk_blocks_only_the_stores_thread(self):
+        """Clients are answered in time, and the decision loop's calls return at once."""
         self.faults = []
         files = Faulty(lambda: self.faults)
         rig = Rig(files, thread=lambda run: threading.Thread(target=run, daemon=True).start())
         self.addCleanup(shutil.rmtree, rig.folder, True)
         rig.hand_in("a", 9000)
         self.faults = [Fault(Kind.STALL, "append", "bodies-*"), Fault(Kind.STALL, "remove", "bodies-*")]
-        found = rig.hand_in("b", 9000, "fee")  # returns although the write never does
+        found = rig.hand_in("b", 9000, "fee")  # returns although the write does not
         self.assertIn("in time", found.reason)
         rig.end("a")
         rig.hand_in("small", 100)
@@ -364,17 +364,17 @@
         self.faults = []
         until(lambda: rig.bodies.usage.total == 0)
         until(lambda: not rig.segments())
-        self.ledger_is_true(rig)
+        self.check_accounting(rig)
 
 
 class Machine(RuleBasedStateMachine):
-    """Any order of hand-ins, ends, reads, faults and restarts: no body is lost or mixed up."""
+    """In any order of hand-ins, ends, reads, faults and restarts no body is lost or mixed up."""
 
     def __init__(self):
         super().__init__()
         self.faults = []
         self.rig = Rig(Faulty(lambda: self.faults), disk=150_000, memory=20_000, destination_share=1.0)
-        self.owed, self.count = {}, 0
+        self.live, self.count = {}, 0
 
     def teardown(self):
         self.rig.journal.close()
@@ -389,17 +389,17 @@
         except (OSError, RuntimeError):
             return  # no 202
         if isinstance(found, AcceptedMessage):
-            self.owed[ref] = (body_of(ref, size), found.unkept)
+            self.live[ref] = (body_of(ref, size), found.unkept)
 
-    @precondition(lambda self: self.owed)
+    @precondition(lambda self: self.live)
     @rule(pick=st.integers(0, 99), outcome=st.sampled_from(["delivered", "given_up"]))
     def end(self, pick, outcome):
-        ref = list(self.owed)[pick % len(self.owed)]
+        ref = list(self.live)[pick % len(self.live)]
         try:
             self.rig.journal.append([MessageEnded(ref, outcome), NoticeAnswered(ref)])
         except (OSError, RuntimeError):
-            return  # tried again by the owner
-        del self.owed[ref]
+            return  # the decision loop tries it again
+        del self.live[ref]
 
     @rule()
     def work(self):
@@ -422,7 +422,7 @@
         self.faults = [fault]
 
     @rule()
-    def mend(self):
+    def clear_faults(self):
         self.faults = []
 
     @rule()
@@ -430,16 +430,16 @@
         self.faults = []
         self.rig.restart()
         assert self.rig.lost == []
-        for ref in [r for r, (_, unkept) in self.owed.items() if unkept]:
+        for ref in [r for r, (_, unkept) in self.live.items() if unkept]:
             assert self.rig.journal.live[ref].message.unkept
             self.rig.journal.append([MessageEnded(ref, "handed_back"), NoticeAnswered(ref)])
-            del self.owed[ref]
+            del self.live[ref]
 
     @invariant()
-    def all_is_kept(self):
+    def all_bodies_are_stored(self):
         faults, self.faults = self.faults, []
-        assert list(self.rig.journal.live) == list(self.owed)
-        for ref, (body, _) in self.owed.items():
+        assert list(self.rig.journal.live) == list(self.live)
+        for ref, (body, _) in self.live.items():
             assert self.rig.read(ref) == body
         assert self.rig.on_disk() <= self.rig.disk
         assert self.rig.bodies.usage.memory <= 20_000 + sum(
@@ -459,8 +459,8 @@
 
 
 @pytest.mark.parametrize("mode", ["die", "die-torn"])
-def test_death_at_any_file_operation_loses_no_promise(mode):
-    """Of a spill, a read-back, a reclaim and a recovery: the next process opens the folder."""
+def test_death_at_any_file_operation_loses_no_accepted_message(mode):
+    """Spills, reads, reclaiming and recovery are interrupted; the next process opens the folder."""
     done = subprocess.run(
         [sys.executable, "tests/body_store_crashes.py", mode, "1"],
         cwd=ROOT,
