--- a/tests/test_bodies_sockets.py
+++ b/tests/test_bodies_sockets.py
@@ -1,4 +1,4 @@
-"""Bodies in files with a real sender: what the stand-ins receive on bad days of the disk."""
+"""Bodies in files with a real sender: deliveries and notices with a full, slow or damaged disk."""
 
 import json
 import os
@@ -38,21 +38,21 @@
 
 
 class Room(Files):
-    def test_one_stopped_partner_does_not_use_up_the_disk_for_all(self):
-        """43 news of 65,000 bytes for it did, and every message was turned away, a fee of 200 bytes too."""
+    def test_one_stopped_endpoint_does_not_use_up_the_disk_for_all(self):
+        """43 droppable messages of 65,000 bytes filled the disk, and even a fee of 200 bytes was rejected."""
         text = json.loads((ROOT / "examples" / "config.json").read_text(encoding="utf-8"))
         text.update(listen="127.0.0.1:0", discovery=self.discovery.address)
         for entry in self.discovery.entries:
             entry["zone"] = "walvis-main"
-        self.host.held.clear()  # stopped: it takes calls and answers none
+        self.host.held.clear()  # stopped: it accepts calls and answers none
         settings = (ROOT / "examples" / "willownotch.conf").read_text(encoding="utf-8")
         sender = Sender(text=text, settings=settings)
         self.addCleanup(sender.close)
         sender.ready()
         acme = {"tenant": "dune-carriers", "left": 15000}
         news = [sender.hand_in("slot-status", body=b"n" * 65000, **acme) for _ in range(60)]
-        held = [ref for ref, head in news if head.status == 202]
-        self.assertGreater(len(held), 15)
+        stored = [ref for ref, head in news if head.status == 202]
+        self.assertGreater(len(stored), 15)
         for cls, dest, size in [
             ("fee-payment", 7, 200),
             ("fee-payment", 8, 200),
@@ -68,48 +68,48 @@
                 self.delivered(self.other, ref)
         dropped = until(lambda: [line for line in sender.lines if "makes room for fee-payment" in line])
         gone = re.search(r"dropped: (\S+) handed_back", dropped[0])[1]
-        self.assertIn(gone, held)
+        self.assertIn(gone, stored)
         self.assertEqual(self.noticed(gone)["outcome"], "handed_back")
         self.assertEqual(sender.hand_in("slot-status", dest=8, body=b"n" * 60000, **acme)[1].status, 202)
 
-    def test_a_full_disk_in_the_middle_of_a_clump_and_room_later(self):
+    def test_a_full_disk_during_a_burst_and_free_space_later(self):
         sender = self.sender(faults="")
         self.host.held.clear()
-        out, _ = sender.hand_in("fee", body=b"o" * 9000)
+        first, _ = sender.hand_in("fee", body=b"o" * 9000)
         until(lambda: self.host.calls)
-        clump = [sender.hand_in("order", body=b"c" * 9000) for _ in range(4)]
+        burst = [sender.hand_in("order", body=b"c" * 9000) for _ in range(4)]
         sender.fail("no-space append *")
-        clump += [sender.hand_in("order", body=b"c" * 9000) for _ in range(4)]
-        clump += [sender.hand_in("order", body=b"c" * 90) for _ in range(4)]
-        self.assertEqual([head.status for _, head in clump], [202] * 4 + [503] * 8)
-        said = lambda: sum("could not be written" in line for line in sender.lines)  # noqa: E731
-        before = said()
-        self.host.held.set()  # `out` ends while nothing can be written
-        until(lambda: said() > before)
+        burst += [sender.hand_in("order", body=b"c" * 9000) for _ in range(4)]
+        burst += [sender.hand_in("order", body=b"c" * 90) for _ in range(4)]
+        self.assertEqual([head.status for _, head in burst], [202] * 4 + [503] * 8)
+        failed_writes = lambda: sum("could not be written" in line for line in sender.lines)  # noqa: E731
+        before = failed_writes()
+        self.host.held.set()  # the first message ends while nothing can be written
+        until(lambda: failed_writes() > before)
         sender.fail("")
-        taken = [ref for ref, head in clump if head.status == 202]
-        until(lambda: set(taken) <= set(self.host.refs()))
+        accepted = [ref for ref, head in burst if head.status == 202]
+        until(lambda: set(accepted) <= set(self.host.refs()))
         sender.settled()
-        self.assertTrue(all(self.host.refs().count(ref) <= 1 for ref in [out, *taken]), self.host.refs())
+        self.assertTrue(all(self.host.refs().count(ref) <= 1 for ref in [first, *accepted]), self.host.refs())
         until(lambda: sender.hand_in("order", body=b"c" * 9000)[1].status == 202)
         sender.restart()
         sender.settled()
-        self.assertEqual(self.host.refs().count(out), 1)
+        self.assertEqual(self.host.refs().count(first), 1)
 
-    def test_the_last_step_is_one_relay_and_then_a_notice(self):
-        for at, ends in [("at-limit one-try", "handed_back"), ("at-limit refuse", None)]:
-            settings = ONE_TRY.replace("{ AT }", f"{{\n{at}\n}}")
+    def test_at_the_last_step_a_message_gets_one_relay_and_then_a_notice(self):
+        for at_limit, outcome in [("at-limit one-try", "handed_back"), ("at-limit refuse", None)]:
+            settings = ONE_TRY.replace("{ AT }", f"{{\n{at_limit}\n}}")
             sender = self.sender(settings=settings, limits={"sockets": 1024, "disk_mb": 0.3})
             self.host.script.put((503, ()))
             before = len(self.host.calls)
             ref, head = sender.hand_in("status", body=b"s" * 30000)
-            self.assertEqual(head.status, 202 if ends else 503)
-            if ends:
-                self.assertEqual(self.noticed(ref)["outcome"], ends)
+            self.assertEqual(head.status, 202 if outcome else 503)
+            if outcome:
+                self.assertEqual(self.noticed(ref)["outcome"], outcome)
                 self.assertEqual(len(self.host.calls) - before, 1)
 
-    def test_what_was_kept_nowhere_ends_by_a_notice_after_a_kill(self):
-        """A fee never as a guess, and never twice."""
+    def test_a_message_without_a_stored_body_ends_by_a_notice_after_a_kill(self):
+        """An unrepeatable message is given up, not handed back, and never sent twice."""
         settings = (
             "bodies {\n inline 0KB\n inline-low 0KB\n destination-share 1%\n class fee {\n"
             " at-limit one-try\n }\n}\n"
@@ -129,9 +129,9 @@
 
 
 class Slow(Files):
-    def test_a_stalled_write_keeps_nobody_else_waiting(self):
+    def test_a_stalled_write_does_not_block_other_messages(self):
         sender = self.sender(faults="stall append bodies-*")
-        large, head = sender.hand_in("order", body=b"l" * 60000)  # answered while the write stands still
+        large, head = sender.hand_in("order", body=b"l" * 60000)  # answered while the write stalls
         self.assertEqual((head.status, "retry-after" in head.headers), (503, True))
         for _ in range(5):
             ref, head = sender.hand_in("order", body=b"s" * 1000)
@@ -143,12 +143,12 @@
         sender.settled()
         until(lambda: not list(sender.state.glob("bodies-*")))
 
-    def test_a_stalled_read_holds_up_its_own_relay_only(self):
+    def test_a_stalled_read_blocks_its_own_relay_only(self):
         sender = self.sender(settings=FILES_ONLY, faults="stall read_at bodies-*")
         large, head = sender.hand_in("order", body=b"l" * 60000, left=20000)
         until(lambda: any(True for _ in sender.state.glob("bodies-*")))
         self.assertEqual(head.status, 202)
-        # Small ones stay in their records from now on, and memory never runs out: nothing else is read.
+        # From here on small bodies are stored in journal records and memory suffices: no other file is read.
         small = FILES_ONLY.replace("inline 0KB", "inline 2KB").replace("memory 0MB", "memory 1MB")
         sender.settings.write_text(small, encoding="utf-8")
         sender.reload({}, "the settings of")
@@ -160,7 +160,7 @@
         self.delivered(self.host, large)
         self.assertEqual(self.body(self.host, large), b"l" * 60000)
 
-    def test_others_flow_while_one_destination_is_silent_under_large_bodies(self):
+    def test_others_are_delivered_while_one_destination_is_silent_under_large_bodies(self):
         sender = self.sender(settings=FILES_ONLY)
         self.host.held.clear()
         silent = [sender.hand_in("order", body=b"l" * 65536, left=20000) for _ in range(20)]
@@ -170,13 +170,13 @@
             self.delivered(self.other, ref)
             self.assertEqual(self.body(self.other, ref), bytes([n]) * 3000)
         self.host.held.set()
-        taken = {ref for ref, head in silent if head.status == 202}
+        accepted = {ref for ref, head in silent if head.status == 202}
         ended = lambda: set(self.host.refs()) | {n["message"] for n in self.discovery.notices}  # noqa: E731
-        until(lambda: taken <= ended(), 3 * PATIENCE)
+        until(lambda: accepted <= ended(), 3 * PATIENCE)
 
 
 class Torn(Files):
-    def test_a_restart_with_half_a_segment_and_a_missing_file(self):
+    def test_a_restart_with_a_truncated_segment_and_a_missing_file(self):
         sender = self.sender(settings=FILES_ONLY, known=self.discovery.known())
         self.host.held.clear()
         first, _ = sender.hand_in("fee", key="k", body=b"0" * 8000, left=20000)
@@ -226,7 +226,7 @@
 
 
 class Command(Files):
-    def test_what_a_folder_keeps(self):
+    def test_the_bodies_command_shows_a_folder(self):
         sender = self.sender(settings=FILES_ONLY)
         self.host.held.clear()
         for _ in range(3):
@@ -243,7 +243,7 @@
         text = subprocess.run(run, cwd=ROOT, capture_output=True, text=True).stdout
         self.assertRegex(text, r"order +7 file +3 +9000 +\d")
 
-    def test_settings_are_read_again_whole_or_not_at_all(self):
+    def test_settings_are_reloaded_completely_or_not_at_all(self):
         sender = self.sender(settings=FILES_ONLY)
         sender.settings.write_text("bodies {\n memory x\n}\n", encoding="utf-8")
         sender.reload({}, "the old settings stay")
@@ -257,15 +257,15 @@
 
 @pytest.mark.parametrize("number", NUMBERS)
 def test_sigkill_at_a_file_operation_under_load(number):
-    """Each message that got a 202 ends once, no fee is sent twice, and a key keeps its order."""
+    """Each message that got a 202 ends once, no fee is sent twice, and each key keeps its order."""
     case = Files()
     case.setUp()
     try:
         sender = Sender(case.discovery, known=case.discovery.known(), settings=FILES_ONLY, faults="")
         case.addCleanup(sender.close)
         sender.ready()
-        sender.fail(f"die * * {number + 20}")  # a start takes fewer, what is known of endpoints included
-        taken, keys = [], []
+        sender.fail(f"die * * {number + 20}")  # a start takes fewer, those of the slow start file included
+        accepted, keys = [], []
         for n in range(60):
             cls, key = ("fee", f"k{n % 2}") if n % 3 else ("order", None)
             try:
@@ -273,22 +273,22 @@
             except OSError:
                 break
             if head.status == 202:
-                taken.append(ref)
+                accepted.append(ref)
                 keys += [(key, ref)] if key else []
         else:
-            pytest.fail("it did not die")
+            pytest.fail("the process did not die")
         sender.process.wait(PATIENCE)
         sender.fail("")
         sender.start()
         sender.ready()
         ended = lambda: set(case.host.refs()) | {n["message"] for n in case.discovery.notices}  # noqa: E731
-        until(lambda: set(taken) <= ended(), 3 * PATIENCE)
+        until(lambda: set(accepted) <= ended(), 3 * PATIENCE)
         sender.settled()
         refs = case.host.refs()
         fees = [ref for _, ref in keys]
         assert all(refs.count(ref) <= 1 for ref in fees), number
-        for wanted in ("k0", "k1"):
-            order = [ref for key, ref in keys if key == wanted]
+        for expected_key in ("k0", "k1"):
+            order = [ref for key, ref in keys if key == expected_key]
             sent = [ref for ref in refs if ref in order]
             assert sent == [ref for ref in order if ref in sent], number
     finally:
