--- a/tests/test_files_replaced.py
+++ b/tests/test_files_replaced.py
@@ -1,4 +1,4 @@
-"""The journal's file where closing or replacing fails, and where a kill has cut a record at any byte."""
+"""The journal's file when closing or replacing it fails, or when a kill has truncated a record."""
 
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
@@ -16,12 +16,12 @@
 DISK = 1_000_000
 
 
-def taken(ref, at=NOW, left=timedelta(seconds=8)):
-    return AcceptedMessage(ref, 7, "status", "acme", at + left, body=b"hello", at=at)
+def message(ref, at=NOW, time_left=timedelta(seconds=8)):
+    return AcceptedMessage(ref, 7, "status", "acme", at + time_left, body=b"hello", at=at)
 
 
 class Failing(Files):
-    """Fails the calls that are named, once each."""
+    """Fails the calls named in `failing`, once each."""
 
     def __init__(self):
         self.failing = set()
@@ -43,59 +43,59 @@
         self._fails("close")
 
     def replace(self, old, new):
-        super().replace(old, new)  # it has taken effect
+        super().replace(old, new)  # the rename has taken effect
         self._fails("replace")
 
 
-def opened(folder, files=None):
+def open_journal(folder, files=None):
     journal = Journal(folder, Space(DISK, 0.5), files or Files())
     journal.open(NOW)
     return journal
 
 
 def test_a_close_that_fails_leaves_the_new_file_in_use(tmp_path):
-    """Records went to the old descriptor's number, which could be anybody's by then."""
+    """Records were written to the old descriptor's number, which may belong to another file by then."""
     files = Failing()
-    journal = opened(tmp_path, files)
-    journal.append([taken("a")])
+    journal = open_journal(tmp_path, files)
+    journal.append([message("a")])
     files.failing.add("close")
     journal.compact()
-    journal.append([taken("b")])
-    assert list(opened(tmp_path).live) == ["a", "b"] and len(files.open_files) == 1
+    journal.append([message("b")])
+    assert list(open_journal(tmp_path).live) == ["a", "b"] and len(files.open_files) == 1
 
 
 def test_a_rename_that_fails_after_it_took_effect_loses_no_record(tmp_path):
-    """The old descriptor led to a file that has no name any more."""
+    """Records were written to the old descriptor, whose file had been replaced."""
     files = Failing()
-    journal = opened(tmp_path, files)
-    journal.append([taken("a")])
+    journal = open_journal(tmp_path, files)
+    journal.append([message("a")])
     files.failing.add("replace")
     with pytest.raises(OSError):
         journal.compact()
-    journal.append([taken("b")])
-    assert list(opened(tmp_path).live) == ["a", "b"]
+    journal.append([message("b")])
+    assert list(open_journal(tmp_path).live) == ["a", "b"]
 
 
-def test_a_record_cut_at_any_byte_costs_only_itself(tmp_path):
-    whole = [frame(taken("a")), frame(RelayStarted("a", 0, NOW, "h")), frame(taken("b"))]
+def test_a_record_truncated_at_any_byte_loses_only_itself(tmp_path):
+    whole = [frame(message("a")), frame(RelayStarted("a", 0, NOW, "h")), frame(message("b"))]
     last = frame(MessageEnded("b", "given_up"))
     for cut in range(len(last)):
         (tmp_path / NAME).write_bytes(b"".join(whole) + last[:cut])
-        journal = opened(tmp_path)
+        journal = open_journal(tmp_path)
         assert list(journal.live) == ["a", "b"] and journal.live["b"].ended is None
-        journal.append([taken("c")])
-        assert list(opened(tmp_path).live) == ["a", "b", "c"], cut
+        journal.append([message("c")])
+        assert list(open_journal(tmp_path).live) == ["a", "b", "c"], cut
 
 
-def test_a_message_from_after_now_lives_no_longer_than_it_was_given(tmp_path):
+def test_a_message_from_the_future_lives_no_longer_than_its_time_to_live(tmp_path):
     """The wall clock was set back by an hour over a reboot."""
     later = NOW + timedelta(hours=1)
     (tmp_path / NAME).write_bytes(
-        frame(taken("a", later))
+        frame(message("a", later))
         + frame(RelayStarted("a", 0, later, "h"))
-        + frame(taken("b", NOW - timedelta(seconds=1)))
+        + frame(message("b", NOW - timedelta(seconds=1)))
     )
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     assert journal.live["a"].message.ends_at == NOW + timedelta(seconds=8)
     assert journal.live["a"].started[0].at == NOW
     assert journal.live["b"].message.ends_at == NOW + timedelta(seconds=7)
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    "origin,holds",
+    "origin,continued",
     [
         (None, False),
         (Origin("b1", NOW, 100.0), True),
@@ -113,12 +113,12 @@
         (Origin("", NOW, 100.0), False),
     ],
 )
-def test_times_go_on_in_the_same_boot_alone(origin, holds):
+def test_recorded_times_are_used_only_within_the_same_boot(origin, continued):
     boot = origin.boot if origin is not None and not origin.boot else "b1"
-    assert continues(origin, boot, 200.0) == holds
+    assert continues(origin, boot, 200.0) == continued
 
 
-def test_a_file_is_replaced_whole_or_not_at_all(tmp_path):
+def test_a_file_is_replaced_completely_or_not_at_all(tmp_path):
     path, files = Path(tmp_path / "x"), Failing()
     replace_file(files, path, b"one")
     assert path.read_bytes() == b"one" and not files.open_files
@@ -128,7 +128,7 @@
 
 
 class Full(Files):
-    """A disk without room."""
+    """A disk without free space."""
 
     def append(self, file, data):
         raise OSError(28, "No space left on device")
