--- a/tests/test_repeated_upgrades.py
+++ b/tests/test_repeated_upgrades.py
@@ -1,6 +1,6 @@
-"""The incident of 2026-12-02: clients that keep their connections, and one upgrade after another under load.
+"""Keep-alive clients under load during several upgrades in a row, as in the incident of 2026-12-02.
 
-Real processes over loopback. A request that was written whole must have its answer, whichever process reads
+Real processes over loopback. A request that was written completely must be answered, whichever process reads
 it.
 """
 
@@ -14,15 +14,15 @@
 from willownotch.net import http
 
 CLIENTS = 24
-KILL_AFTER = 3.7  # s from SIGTERM to SIGKILL
+KILL_AFTER_S = 3.7  # from SIGTERM to SIGKILL
 UPGRADES = 4
 
 
-class KeptClient:
-    """Sends one request after the other on one connection, and opens a new one only when that was ended."""
+class KeepAliveClient:
+    """Sends one request after the other on a connection, and reconnects only when it was closed."""
 
-    def __init__(self, sender, port, number, pieces):
-        self.sender, self.port, self.number, self.pieces = sender, port, number, pieces
+    def __init__(self, sender, port, number, in_pieces):
+        self.sender, self.port, self.number, self.in_pieces = sender, port, number, in_pieces
         self.answered, self.unanswered = 0, []
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -47,13 +47,13 @@
                 self.unanswered.append((ref, outcome))
 
     def _exchange(self, sock, data):
-        """The connection if it goes on, and what kept the answer from coming, if anything did."""
+        """Return the connection if it stays open, and the error if the request was not answered."""
         parser = http.Parser(answer=True)
         try:
-            cut = len(data) // 2 if self.pieces else 0
+            cut = len(data) // 2 if self.in_pieces else 0
             for piece in filter(None, (data[:cut], data[cut:])):
                 sock.sendall(piece)
-                if self.pieces:
+                if self.in_pieces:
                     self._stop.wait(0.002)
             while (found := parser.next()) is None:
                 if parser.eof:
@@ -68,44 +68,44 @@
         return None, None
 
 
-def play(pieces):
-    """The requests that had no answer, how many had one, and what the processes said."""
+def run_upgrades(in_pieces):
+    """Return the unanswered requests, the number of answered ones, and the log lines of the old processes."""
     discovery = Discovery([host := Host()])
     sender = Sender(discovery)
     sender.ready()
-    port, said, old_ones = sender.port, [], []
-    clients = [KeptClient(sender, port, number, pieces) for number in range(CLIENTS)]
+    port, log_lines, old_processes = sender.port, [], []
+    clients = [KeepAliveClient(sender, port, number, in_pieces) for number in range(CLIENTS)]
     try:
         for _ in range(UPGRADES):
             before = sum(client.answered for client in clients)
             until(lambda before=before: sum(client.answered for client in clients) > before + 5 * CLIENTS)
             old, lines = sender.upgrade()
             sender.ready()
-            said.append(lines)
+            log_lines.append(lines)
             old.send_signal(signal.SIGTERM)
-            old_ones.append((old, time.monotonic() + KILL_AFTER))
+            old_processes.append((old, time.monotonic() + KILL_AFTER_S))
         before = sum(client.answered for client in clients)
         until(lambda: sum(client.answered for client in clients) > before + 5 * CLIENTS)
-        for old, ends in old_ones:
-            until(lambda old=old, ends=ends: old.poll() is not None or time.monotonic() > ends)
+        for old, deadline in old_processes:
+            until(lambda old=old, deadline=deadline: old.poll() is not None or time.monotonic() > deadline)
     finally:
         for client in clients:
             client.stop()
-        for old, _ in old_ones:
+        for old, _ in old_processes:
             old.kill()
             old.wait(PATIENCE)
             old.stderr.close()
         for thing in (sender, discovery, host):
             thing.close()
     lost = [fault for client in clients for fault in client.unanswered]
-    return lost, sum(client.answered for client in clients), [line for lines in said for line in lines]
+    return lost, sum(client.answered for client in clients), [line for lines in log_lines for line in lines]
 
 
-def test_kept_connections_have_all_their_answers_across_repeated_upgrades():
-    lost, answered, said = play(pieces=False)
-    assert not lost, f"{len(lost)} of {answered + len(lost)} without an answer, {lost[:3]}, {said[-12:]}"
+def test_keep_alive_connections_get_all_answers_across_repeated_upgrades():
+    lost, answered, log_lines = run_upgrades(in_pieces=False)
+    assert not lost, f"{len(lost)} of {answered + len(lost)} without an answer, {lost[:3]}, {log_lines[-12:]}"
 
 
-def test_requests_in_two_pieces_have_all_their_answers_across_repeated_upgrades():
-    lost, answered, said = play(pieces=True)
-    assert not lost, f"{len(lost)} of {answered + len(lost)} without an answer, {lost[:3]}, {said[-12:]}"
+def test_requests_in_two_pieces_get_all_answers_across_repeated_upgrades():
+    lost, answered, log_lines = run_upgrades(in_pieces=True)
+    assert not lost, f"{len(lost)} of {answered + len(lost)} without an answer, {lost[:3]}, {log_lines[-12:]}"
