--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,16 +30,19 @@
         self.sender.ready()
 
     def upgrade(self, cwd=ROOT):
-        """The old process, ended at the latest when the test is over; the new one is ready."""
-        old, said = self.sender.upgrade(cwd)
+        """Start a new process and wait until it is ready; return the old one and its log lines.
+
+        The old process is killed at the end of the test at the latest.
+        """
+        old, log_lines = self.sender.upgrade(cwd)
         self.addCleanup(old.stderr.close)
         self.addCleanup(old.wait)
         self.addCleanup(old.kill)
         self.sender.ready()
-        return old, said
+        return old, log_lines
 
-    def out(self, cls, **more):
-        """Hand one in and have its call out, unanswered."""
+    def call_in_progress(self, cls, **more):
+        """Hand a message in and return its id once its call is in progress, unanswered."""
         self.host.held.clear()
         ref, head = self.sender.hand_in(cls, **more)
         self.assertEqual(head.status, 202)
@@ -47,7 +50,7 @@
         return ref
 
     def ask(self, hello):
-        """A peer that asks the sender for everything."""
+        """Connect as a process that asks the sender for its state; return the link."""
         sock = socket.socket(socket.AF_UNIX)
         self.addCleanup(sock.close)
         sock.connect(str(self.sender.state / "handover"))
@@ -55,55 +58,55 @@
         link.send(Kind.HELLO, hello)
         return link
 
-    def serves(self):
+    def check_delivery(self):
         ref, head = self.sender.hand_in("fee")
         self.assertEqual(head.status, 202)
         until(lambda: ref in self.host.refs())
 
-    def test_clients_and_calls_go_over_and_nothing_is_made_twice(self):
+    def test_clients_and_calls_are_handed_over_and_no_call_is_made_twice(self):
         idle, half = self.sender.connect(), self.sender.connect()
         self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
         self.sender.settled()
         whole = self.sender.message("order")
         half.sendall(whole[:60])
-        fee = self.out("fee", key="k")
+        fee = self.call_in_progress("fee", key="k")
         next_fee, _ = self.sender.hand_in("fee", key="k")
-        old, said = self.upgrade()
+        old, log_lines = self.upgrade()
         self.assertTrue(any("1 calls out in the process before" in line for line in self.sender.lines))
         self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
         self.assertEqual(self.sender.exchange(whole[60:], half).status, 202)
-        self.assertIsNone(old.poll())  # its call is out
-        self.assertNotIn(next_fee, self.host.refs())  # its key waits
+        self.assertIsNone(old.poll())  # its call is in progress
+        self.assertNotIn(next_fee, self.host.refs())  # it waits for the earlier message of its key
         self.host.held.set()
         until(lambda: next_fee in self.host.refs())
         self.sender.settled()
-        self.assertEqual(old.wait(PATIENCE), 0)  # by itself
+        self.assertEqual(old.wait(PATIENCE), 0)  # without being stopped
         self.assertEqual((self.host.refs().count(fee), self.discovery.notices), (1, []))
         self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
         self.assertEqual(len(set(self.host.refs())), len(self.host.refs()))
-        again, _ = self.upgrade()  # and once more
-        self.assertEqual(again.wait(PATIENCE), 0)
+        next_old, _ = self.upgrade()  # a second upgrade
+        self.assertEqual(next_old.wait(PATIENCE), 0)
         self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
 
-    def test_clients_that_never_pause_notice_nothing(self):
-        """Each on one connection and one request after the other, and others on new connections."""
+    def test_clients_under_constant_load_notice_nothing(self):
+        """Two clients reuse one connection each, and one opens a connection for each request."""
         stop, failed, done = threading.Event(), [], []
 
-        def kept():
+        def keep_alive():
             with self.sender.connect() as sock:
                 while not stop.is_set():
-                    ask(sock)
+                    exchange(sock)
 
-        def fresh():
+        def reconnecting():
             while not stop.is_set():
-                ask(None)
+                exchange(None)
 
         port, connect = self.sender.port, socket.create_connection
 
-        def ask(sock):
+        def exchange(sock):
             if sock is None:
                 with connect(("127.0.0.1", port), PATIENCE) as sock:
-                    return ask(sock)
+                    return exchange(sock)
             head = self.sender.exchange(self.sender.request("GET", "/health/ready"), sock)
             return (done if head.status == 200 else failed).append(head.status)
 
@@ -113,7 +116,9 @@
             except OSError as fault:
                 failed.append(fault)
 
-        threads = [threading.Thread(target=run, args=(work,)) for work in (kept, kept, fresh)]
+        threads = [
+            threading.Thread(target=run, args=(work,)) for work in (keep_alive, keep_alive, reconnecting)
+        ]
         for thread in threads:
             thread.start()
         old, _ = self.upgrade()
@@ -125,8 +130,8 @@
             thread.join()
         self.assertEqual(failed, [])
 
-    def test_an_old_process_that_dies_with_calls_out_leaves_them_as_perhaps_run(self):
-        fee, status = self.out("fee"), self.out("status")
+    def test_calls_of_an_old_process_that_dies_may_have_run(self):
+        fee, status = self.call_in_progress("fee"), self.call_in_progress("status")
         old, _ = self.upgrade()
         old.kill()
         until(lambda: any(n["message"] == fee for n in self.discovery.notices))
@@ -137,16 +142,16 @@
         self.assertEqual((ends, self.host.refs().count(fee)), ({fee: "given_up"}, 1))
 
     def test_a_new_process_that_dies_leaves_all_in_the_journal(self):
-        fee = self.out("fee")
+        fee = self.call_in_progress("fee")
         self.upgrade()
-        self.sender.restart()  # SIGKILL; the old process has still its call out
+        self.sender.restart()  # by SIGKILL, with the call still in progress in the old process
         until(lambda: any(n["message"] == fee for n in self.discovery.notices))
         self.host.held.set()
-        self.serves()
+        self.check_delivery()
         self.assertEqual(self.host.refs().count(fee), 1)
 
     def test_a_peer_that_dies_or_hangs_at_any_step_takes_nothing(self):
-        self.out("status")
+        self.call_in_progress("status")
         for step in ("hello", "state", "torn"):
             with self.subTest(step=step):
                 link = self.ask(version())
@@ -162,9 +167,9 @@
         before = len(self.sender.lines)
         until(lambda: any("this one keeps serving" in line for line in self.sender.lines[before:]))
         self.host.held.set()
-        self.serves()
+        self.check_delivery()
 
-    def test_a_process_with_other_decisions_starts_from_the_journal(self):
+    def test_a_process_with_different_sources_starts_from_the_journal(self):
         with tempfile.TemporaryDirectory() as folder:
             shutil.copytree(
                 ROOT / "willownotch",
@@ -175,25 +180,25 @@
                 file.write("# another version\n")
             idle = self.sender.connect()
             self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
-            fee = self.out("fee")
+            fee = self.call_in_progress("fee")
             releasing = threading.Timer(0.5, self.host.held.set)
             releasing.start()
-            old, said = self.upgrade(folder)
-            self.assertTrue(any("which runs different sources" in line for line in said), said)
+            old, log_lines = self.upgrade(folder)
+            self.assertTrue(any("which runs different sources" in line for line in log_lines), log_lines)
             self.assertTrue(any("recover: 0 messages owed" in line for line in self.sender.lines))
             self.assertEqual(self.sender.exchange(self.sender.message(), idle).status, 202)
             self.assertEqual(old.wait(PATIENCE), 0)
             self.assertEqual((self.host.refs().count(fee), self.discovery.notices), (1, []))
 
-    def test_a_peer_with_other_decisions_that_dies_leaves_relays_to_go_on(self):
+    def test_relays_resume_after_a_peer_with_different_sources_dies(self):
         link = self.ask(b"another")
         self.assertIs(link.receive(None).kind, Kind.PLAIN)
         link.close()
         until(lambda: any("this one keeps serving" in line for line in self.sender.lines))
-        self.serves()
+        self.check_delivery()
 
     def test_while_the_old_process_hangs_the_new_one_waits_and_takes_the_folder_at_its_end(self):
-        status = self.out("status")
+        status = self.call_in_progress("status")
         self.sender.process.send_signal(signal.SIGSTOP)
         old, _ = self.sender.upgrade_unready()
         self.addCleanup(old.stderr.close)
@@ -209,10 +214,10 @@
         until(lambda: self.host.refs().count(status) == 2)
 
 
-def test_an_address_that_another_program_serves_is_refused_before_the_folder_is_touched():
+def test_an_address_in_use_is_reported_before_the_folder_is_touched():
     discovery = Discovery([])
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        sender = Sender(discovery, env={"LB_LISTEN": f"127.0.0.1:{taken.getsockname()[1]}"})
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        sender = Sender(discovery, env={"LB_LISTEN": f"127.0.0.1:{occupied.getsockname()[1]}"})
         assert sender.process.wait(PATIENCE) == 2
         assert not (sender.state / "journal").exists()
         sender.close()
@@ -226,7 +231,7 @@
     assert two.take() and not one.take()
 
 
-def test_frames_come_out_of_pieces_of_any_size_with_their_descriptors():
+def test_frames_are_parsed_from_pieces_of_any_size_with_their_descriptors():
     data = HEAD.pack(MAGIC, Kind.CLIENT, 2, 3) + b"abc" + HEAD.pack(MAGIC, Kind.HANDED_OVER, 0, 0)
     for size in (1, 2, 7, len(data)):
         frames, found = Frames(), []
@@ -253,12 +258,12 @@
         b"\x80\x05N.",
     ],
 )
-def test_an_estate_is_made_of_our_own_types_only(data):
+def test_a_state_with_other_types_is_refused(data):
     with pytest.raises(ValueError):
         pickled.read(data)
 
 
-def test_a_request_is_passed_on_as_it_was():
+def test_a_rewritten_request_is_equivalent():
     from willownotch.net.client_requests import rewrite_request
 
     for raw in (
@@ -277,8 +282,8 @@
         assert two.next()[0].target == "/more"
 
 
-def test_a_request_at_the_bounds_of_a_head_can_be_passed_on():
-    """Written again it has a space and a line more than it came with: it was answered 431 by the next one."""
+def test_a_request_at_the_size_limit_of_a_head_can_be_passed_on():
+    """Rewriting adds a space and a line, so the next process answered 431 to a request that was accepted."""
     from willownotch.net.client_requests import rewrite_request
 
     lines = b"".join(b"x%d:%s\r\n" % (n, b"v" * 157) for n in range(99))
@@ -298,8 +303,8 @@
         plain.next()
 
 
-def test_a_connection_counts_as_present_until_the_other_process_has_it():
-    """The old process ended between marking a connection as passed on and passing it."""
+def test_a_connection_is_counted_until_the_other_process_has_it():
+    """The old process exited after it had marked a connection as passed on and before it had passed it."""
     import json
 
     from harness import SETTINGS
@@ -318,11 +323,11 @@
         {},
     )
     clock = Clock()
-    begun, allowed = threading.Event(), threading.Event()
+    started, allow = threading.Event(), threading.Event()
 
-    def elsewhere(*_):
-        begun.set()
-        return allowed.wait(PATIENCE)
+    def pass_on(*_):
+        started.set()
+        return allow.wait(PATIENCE)
 
     client_side = ClientSide(
         config,
@@ -338,18 +343,18 @@
         ours, _ = server.accept()
     client_side.adopt(ours, b"", None, 1)
     until(lambda: any(client.stage is Stage.IDLE for client in client_side._clients))
-    client_side.redirect(elsewhere)
-    giving = threading.Thread(target=client_side.pass_on_idle)
-    giving.start()
-    assert begun.wait(PATIENCE) and client_side.connection_count() == 1
-    allowed.set()
-    giving.join(PATIENCE)
+    client_side.redirect(pass_on)
+    passing = threading.Thread(target=client_side.pass_on_idle)
+    passing.start()
+    assert started.wait(PATIENCE) and client_side.connection_count() == 1
+    allow.set()
+    passing.join(PATIENCE)
     assert client_side.connection_count() == 0
     theirs.close()
     client_side.listener.close()
 
 
-def test_time_is_counted_as_in_the_process_before():
+def test_the_clock_continues_that_of_the_old_process():
     from willownotch.net.clock import Clock
 
     one, two = Clock(), Clock()
