--- a/tests/test_bodies_store.py
+++ b/tests/test_bodies_store.py
@@ -297,7 +297,7 @@
         self.assertIsInstance(rig.hand_in("b", 5000, "fee"), Admission)
         self.check_accounting(rig)
 
-    def test_a_file_that_cannot_be_truncated_is_not_appended_to(self):
+    def test_a_file_that_cannot_be_truncated_takes_nothing_more(self):
         rig = self.rig()
         rig.hand_in("a", 5000)
         self.faults = [
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -1,4 +1,4 @@
-"""What becomes of requests, calls and the folder when a hand-over goes wrong at one of its steps."""
+"""Requests, calls and the folder when a hand-over fails at one of its steps."""
 
 import errno
 import json
@@ -46,7 +46,7 @@
 
 
 def pair():
-    """Both ends of a TCP connection: a client's and a server's."""
+    """Return both ends of a TCP connection: the client's and the server's."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         theirs = socket.create_connection(server.getsockname(), PATIENCE)
         ours, _ = server.accept()
@@ -55,7 +55,7 @@
 
 
 class Rig:
-    """A client side whose owner answers each hand-in with `verdict`, in this process."""
+    """A client side whose decision loop, in this process, answers each hand-in with `verdict`."""
 
     def __init__(self, verdict=Verdict.MOVED):
         self.clock, self.lifecycle = Clock(), SharedLifecycle()
@@ -65,14 +65,14 @@
         self.client_side = ClientSide(CONFIG, self.clock, self.log, self, self, start, self.lifecycle)
 
     def post(self, item):
-        """The owner's queue."""
+        """Act as the decision loop's queue."""
         if isinstance(item, HandIn):
             item.pending.claim()
             item.pending.settle(Answer(self.verdict))
 
-    def keep(self, taken, patience, last=False):
-        """The body store's: all bodies stay in memory."""
-        return taken
+    def keep(self, message, patience, last=False):
+        """Act as a body store that leaves all bodies in memory."""
+        return message
 
     def close(self):
         self.client_side.listener.close()
@@ -87,12 +87,12 @@
 
 
 def link_to(rig, sock):
-    """The new process's side of a link."""
+    """Return the new process's side of a link."""
     return PredecessorLink(ReceivedHandover(Link(sock), None, None, []), rig.log, rig, None, rig.client_side)
 
 
 def predecessor_of(rig, folder, lifecycle, decision_loop, endpoint_side=None):
-    """The old process's side, with parts that are made up."""
+    """Return the old process's side, with the given stand-ins."""
     lock = FolderLock(folder)
     return Predecessor(
         folder,
@@ -126,7 +126,7 @@
 
 
 def answer_of(sock):
-    """The head of the answer and whether the connection ended behind it."""
+    """Return the head of the next answer."""
     parser = http.Parser(answer=True)
     while (found := parser.next()) is None:
         assert not parser.eof, "the connection ended without an answer"
@@ -134,8 +134,8 @@
     return found[0]
 
 
-def test_a_request_that_nobody_takes_is_answered_503_with_a_close(rig):
-    """The other process is gone, or does not read: whoever has read a request owes it an answer."""
+def test_a_request_that_cannot_be_passed_on_is_answered_503_with_a_close(rig):
+    """The other process is gone or does not read: the process that has read a request must answer it."""
     rig.client_side.redirect(lambda *_: False)
     theirs, ours = pair()
     assert rig.client_side.adopt(ours, b"", None, 1)
@@ -148,24 +148,24 @@
 
 
 def test_a_connection_that_is_passed_on_again_is_not_shut_by_who_had_it(rig):
-    """Evidence 1: adopted in one upgrade and passed on in the next, it was shut down at its next request."""
-    taken = []
-    rig.client_side.redirect(lambda sock, *_: bool(taken.append(sock.dup())) or True)
+    """A connection adopted in one upgrade and passed on in the next was shut down at its next request."""
+    passed = []
+    rig.client_side.redirect(lambda sock, *_: bool(passed.append(sock.dup())) or True)
     theirs, ours = pair()
     assert rig.client_side.adopt(ours, b"", None, 1)
-    until(lambda: any(client.stage is Stage.IDLE for client in rig.client_side._clients) or taken)
+    until(lambda: any(client.stage is Stage.IDLE for client in rig.client_side._clients) or passed)
     rig.client_side.pass_on_idle()
-    until(lambda: taken)
-    theirs.sendall(request())  # wakes the thread that had it
+    until(lambda: passed)
+    theirs.sendall(request())  # wakes the thread that served it
     until(lambda: not rig.client_side._clients)
-    taken[0].sendall(http.write_answer(202))
+    passed[0].sendall(http.write_answer(202))
     assert answer_of(theirs).status == 202
     theirs.close()
-    taken[0].close()
+    passed[0].close()
 
 
-class Standstill:
-    """An owner that hands over and, once it is decided, deals with what had come in meanwhile."""
+class PausingLoop:
+    """A decision loop that hands over and, once that is decided, notes where later events would go."""
 
     def __init__(self):
         self.forward = lambda item: self.dropped.append(item)
@@ -174,7 +174,7 @@
 
     def post(self, order):
         assert isinstance(order, HandOver)
-        start("owner", lambda: self._hand_over(order))
+        start("decision-loop", lambda: self._hand_over(order))
 
     def _hand_over(self, order):
         order.pending.claim()
@@ -183,11 +183,11 @@
         self.seen.append((self.forward, self.client_side._redirect_to))
 
 
-def test_what_is_let_go_by_the_owner_has_where_to_go(rig, tmp_path, monkeypatch):
-    """Evidence 2: the owner answered `moved` before the client side was told where connections go."""
+def test_forwarding_is_set_up_before_the_decision_loop_resumes(rig, tmp_path, monkeypatch):
+    """The decision loop answered `moved` before the client side knew where to pass connections on."""
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     decision_loop, endpoint_side = (
-        Standstill(),
+        PausingLoop(),
         type(
             "EndpointSide",
             (),
@@ -220,20 +220,20 @@
     before = decision_loop.forward
     assert predecessor._handle_request(Link(ours))
     until(lambda: decision_loop.seen)
-    ((forward, elsewhere),) = decision_loop.seen
-    assert forward is not before and elsewhere is not None
-    assert other.receive(PATIENCE_SPAN).kind is Kind.STATE
-    given = other.receive(PATIENCE_SPAN)
+    ((forward, redirect_to),) = decision_loop.seen
+    assert forward is not before and redirect_to is not None
+    assert other.receive(RECEIVE_TIMEOUT).kind is Kind.STATE
+    given = other.receive(RECEIVE_TIMEOUT)
     assert given.kind is Kind.HANDED_OVER and len(given.fds) == 1
     theirs.close()
 
 
-PATIENCE_SPAN = passing.ADOPT_TIMEOUT
-PAST_LAST_REQUESTS = 3.2  # s after SIGTERM: clients have been let go by then
+RECEIVE_TIMEOUT = passing.ADOPT_TIMEOUT
+CLIENTS_CLOSED_BY_S = 3.2  # after SIGTERM: a stopping process has closed its client connections by then
 
 
 def test_a_frame_that_cannot_be_written_whole_ends_the_link():
-    """What came behind half a frame was read as its rest: a request that no client had sent."""
+    """The bytes after a partial frame were read as its rest: a request that no client had sent."""
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     link = Link(ours)
     old, wire.FINISH_TIMEOUT = wire.FINISH_TIMEOUT, wire.RETRY_DELAY
@@ -261,15 +261,15 @@
             sent += 1
     other = Link(theirs)
     for _ in range(sent):
-        assert other.receive(PATIENCE_SPAN).data == b"x" * 1000
+        assert other.receive(RECEIVE_TIMEOUT).data == b"x" * 1000
     link.send(Kind.HANDED_OVER)
-    assert other.receive(PATIENCE_SPAN).kind is Kind.HANDED_OVER
+    assert other.receive(RECEIVE_TIMEOUT).kind is Kind.HANDED_OVER
     link.close()
     theirs.close()
 
 
 @pytest.mark.parametrize("number", sorted(wire.SHORTAGE_ERRORS - {errno.EINTR}))
-def test_a_shortage_of_the_kernel_is_waited_out(number, monkeypatch):
+def test_a_kernel_shortage_is_waited_out(number, monkeypatch):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     link, tries, send_fds = Link(ours), [], socket.send_fds
 
@@ -281,7 +281,7 @@
 
     monkeypatch.setattr(socket, "send_fds", short)
     link.send(Kind.CLIENT, b"a", (ours.fileno(),))
-    frame = Link(theirs).receive(PATIENCE_SPAN)
+    frame = Link(theirs).receive(RECEIVE_TIMEOUT)
     assert frame.data == b"a" and len(frame.fds) == 1
     os.close(frame.fds[0])
     link.close()
@@ -302,31 +302,31 @@
         Successor._read(None, Frame(Kind.PLAIN, b"", (), truncated=True))
 
 
-def test_a_client_that_cannot_be_taken_is_answered_by_who_has_read_its_request(rig):
-    """The new process has no descriptor or no thread left: it says so, and nothing is shut there."""
+def test_a_client_that_cannot_be_taken_is_answered_by_the_process_that_read_its_request(rig):
+    """The new process has no descriptor or thread left: it reports that and does not shut the connection."""
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    passes = ClientPassing(Link(ours), rig.clock, rig.log)
+    client_passing = ClientPassing(Link(ours), rig.clock, rig.log)
     predecessor_link = link_to(rig, theirs)
     client, server = pair()
     found = []
-    start("pass", lambda: found.append(passes.pass_on(server, request(), None, 0)))
-    frame = predecessor_link.link.receive(PATIENCE_SPAN)
+    start("pass", lambda: found.append(client_passing.pass_on(server, request(), None, 0)))
+    frame = predecessor_link.link.receive(RECEIVE_TIMEOUT)
     for descriptor in frame.fds:
         os.close(descriptor)
     predecessor_link._adopt(Frame(frame.kind, frame.data, (), truncated=True))
-    said = passes.link.receive(PATIENCE_SPAN)
-    assert said.kind is Kind.NOT_ADOPTED
-    passes.answered(wire_number(said), False)
+    answer = client_passing.link.receive(RECEIVE_TIMEOUT)
+    assert answer.kind is Kind.NOT_ADOPTED
+    client_passing.answered(wire_number(answer), False)
     until(lambda: found)
     assert found == [False]
     rig.client_side.start = no_thread
-    start("pass", lambda: found.append(passes.pass_on(server, request(), None, 0)))
-    predecessor_link._adopt(predecessor_link.link.receive(PATIENCE_SPAN))
-    said = passes.link.receive(PATIENCE_SPAN)
-    assert said.kind is Kind.NOT_ADOPTED
-    passes.answered(wire_number(said), False)
+    start("pass", lambda: found.append(client_passing.pass_on(server, request(), None, 0)))
+    predecessor_link._adopt(predecessor_link.link.receive(RECEIVE_TIMEOUT))
+    answer = client_passing.link.receive(RECEIVE_TIMEOUT)
+    assert answer.kind is Kind.NOT_ADOPTED
+    client_passing.answered(wire_number(answer), False)
     until(lambda: len(found) == 2)
-    server.sendall(http.write_answer(503))  # the connection is whole
+    server.sendall(http.write_answer(503))  # the connection is still usable
     assert found == [False, False] and answer_of(client).status == 503
     for sock in (ours, theirs, client, server):
         sock.close()
@@ -344,15 +344,15 @@
 
 def test_a_new_process_that_dies_with_connections_on_their_way_leaves_them_here(rig):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    passes = ClientPassing(Link(ours), rig.clock, rig.log)
+    client_passing = ClientPassing(Link(ours), rig.clock, rig.log)
     client, server = pair()
     found = []
-    start("pass", lambda: found.append(passes.pass_on(server, request(), None, 0)))
-    until(lambda: passes._pending)
+    start("pass", lambda: found.append(client_passing.pass_on(server, request(), None, 0)))
+    until(lambda: client_passing._pending)
     theirs.close()  # with the frame in it
-    passes.end()
+    client_passing.end()
     until(lambda: found)
-    assert found == [False] and not passes.pass_on(server, request(), None, 0)
+    assert found == [False] and not client_passing.pass_on(server, request(), None, 0)
     client.close()
     server.close()
     ours.close()
@@ -386,8 +386,8 @@
     assert three.take()
 
 
-class Chains:
-    """A sender, its endpoint, and all processes that were upgraded away."""
+class UpgradeChain:
+    """A sender, its endpoint, and all old processes of its upgrades."""
 
     def __init__(self):
         self.host = Host()
@@ -396,7 +396,7 @@
         self.sender.ready()
         self.old = []
 
-    def out(self, cls):
+    def call_in_progress(self, cls):
         self.host.held.clear()
         ref, head = self.sender.hand_in(cls)
         assert head.status == 202
@@ -404,10 +404,10 @@
         return ref
 
     def upgrade(self):
-        old, said = self.sender.upgrade()
-        self.old.append((old, said))
+        old, log_lines = self.sender.upgrade()
+        self.old.append((old, log_lines))
         self.sender.ready()
-        return old, said
+        return old, log_lines
 
     def close(self):
         self.host.held.set()
@@ -421,17 +421,17 @@
 
 @pytest.fixture
 def chain():
-    made = Chains()
+    made = UpgradeChain()
     yield made
     made.close()
 
 
-def test_a_call_that_is_out_two_processes_back_is_heard_of(chain):
-    """The middle process dropped what the first one told: the call counted as broken, and was ended or made
-    again."""
-    fee, status = chain.out("fee"), chain.out("status")
+def test_the_result_of_a_call_two_processes_back_is_received(chain):
+    """The middle process dropped the first one's results: the call counted as failed, and its message was
+    ended or sent again."""
+    fee, status = chain.call_in_progress("fee"), chain.call_in_progress("status")
     first, _ = chain.upgrade()
-    second, said = chain.upgrade()
+    second, log_lines = chain.upgrade()
     assert any("2 calls out in the process before" in line for line in chain.sender.lines)
     assert (first.poll(), second.poll()) == (None, None)
     chain.host.held.set()
@@ -441,8 +441,8 @@
     assert chain.discovery.notices == []
 
 
-def test_a_call_two_processes_back_is_called_off_there(chain):
-    """At its deadline the call is not waited for any more, whoever has it out."""
+def test_a_call_two_processes_back_is_cancelled_there(chain):
+    """At its deadline a call is not awaited any more, whichever process made it."""
     chain.host.held.clear()
     ref, head = chain.sender.hand_in("status", left=2500)
     assert head.status == 202
@@ -450,19 +450,19 @@
     first, _ = chain.upgrade()
     chain.upgrade()
     until(lambda: any(n["message"] == ref for n in chain.discovery.notices))
-    assert first.wait(PATIENCE) == 0  # its call has ended, and nothing else keeps it
+    assert first.wait(PATIENCE) == 0  # its call has ended, and it has no other work
 
 
 def test_the_old_process_ends_with_the_new_one_that_dies(chain):
-    """Its calls' ends could be told to nobody, and the next process may make them again."""
-    chain.out("status")
+    """Nobody would receive the results of its calls, and the next process may make them again."""
+    chain.call_in_progress("status")
     first, _ = chain.upgrade()
     chain.sender.process.kill()
     assert first.wait(2.0) == 0
 
 
 def test_two_processes_that_ask_at_the_same_time_follow_one_another(chain):
-    """The lock was free for a moment between two processes: the third took it, and found the address used."""
+    """The lock was free for a moment between two processes: a third took it and found the address in use."""
     idle = chain.sender.connect()
     assert chain.sender.exchange(chain.sender.message(), idle).status == 202
     first, one = chain.sender.process, chain.sender.upgrade_unready()
@@ -479,29 +479,29 @@
 
 
 def json_port(chain):
-    found = [line for _, said in chain.old for line in said if "start: listening on" in line]
+    found = [line for _, log_lines in chain.old for line in log_lines if "start: listening on" in line]
     return int(found[-1].split("listening on ")[1].split(",")[0].rsplit(":", 1)[1])
 
 
 def test_a_stop_that_comes_while_all_is_given_loses_no_call(chain):
-    """SIGTERM in the middle of a hand-over: the process ends as one that has given everything away."""
-    fee = chain.out("fee")
-    old, said = chain.sender.upgrade_unready()
-    chain.old.append((old, said))
-    until(lambda: any("handing over to another process" in line for line in said))
+    """After SIGTERM during a hand-over the process still waits for its calls, as after any hand-over."""
+    fee = chain.call_in_progress("fee")
+    old, log_lines = chain.sender.upgrade_unready()
+    chain.old.append((old, log_lines))
+    until(lambda: any("handing over to another process" in line for line in log_lines))
     old.send_signal(signal.SIGTERM)
     until(lambda: chain.sender.port)
     chain.sender.ready()
-    time.sleep(PAST_LAST_REQUESTS)  # a stopping process would have closed its side by then
+    time.sleep(CLIENTS_CLOSED_BY_S)  # a stopping process would have closed its side by then
     assert old.poll() is None
     chain.host.held.set()
     assert old.wait(PATIENCE) == 0
     chain.sender.settled()
-    assert any("ended after the hand-over" in line for line in said)
+    assert any("ended after the hand-over" in line for line in log_lines)
     assert (chain.host.refs().count(fee), chain.discovery.notices) == (1, [])
 
 
-def test_no_hand_over_begins_once_a_stop_is_under_way():
+def test_no_hand_over_begins_during_a_stop():
     clock, lifecycle = Clock(), SharedLifecycle()
     lifecycle.tell(Event.LISTED, clock.now())
     lifecycle.tell(Event.STOP, clock.now())
@@ -522,17 +522,17 @@
     assert found == [True]
 
 
-def test_who_asks_while_all_goes_to_another_is_refused_at_once(chain):
-    """It waited in the old process's backlog for as long as that had calls out, and was late to be ready."""
-    chain.out("status")
+def test_a_request_during_a_hand_over_to_another_process_is_refused_at_once(chain):
+    """It waited in the old process's backlog until that had finished its calls, and was ready late."""
+    chain.call_in_progress("status")
     link = ask(chain)
-    late = ask(chain)  # in the backlog: one is dealt with after the other
-    assert link.receive(PATIENCE_SPAN).kind is Kind.STATE
+    late = ask(chain)  # in the backlog: requests are handled one after the other
+    assert link.receive(RECEIVE_TIMEOUT).kind is Kind.STATE
     link.send(Kind.TOOK)
-    assert link.receive(PATIENCE_SPAN).kind is Kind.HANDED_OVER
+    assert link.receive(RECEIVE_TIMEOUT).kind is Kind.HANDED_OVER
     began = time.monotonic()
     with pytest.raises(ConnectionResetError):
-        late.receive(PATIENCE_SPAN)
+        late.receive(RECEIVE_TIMEOUT)
     assert time.monotonic() - began < 1.0 and chain.sender.process.poll() is None
     link.close()
 
@@ -545,7 +545,7 @@
     return link
 
 
-def test_a_call_off_goes_on_to_the_process_that_has_the_call(rig, tmp_path):
+def test_a_cancellation_is_forwarded_to_the_process_that_makes_the_call(rig, tmp_path):
     import msgspec
 
     class Recorder:
@@ -564,7 +564,7 @@
 
 
 def connected(path):
-    """A connection to a process that listens there; None while it does not: the path is there before that."""
+    """Return a connection to the process that listens there; None until it does, though the path exists."""
     sock = socket.socket(socket.AF_UNIX)
     try:
         sock.connect(str(path))
@@ -574,8 +574,8 @@
     return sock
 
 
-def test_a_process_that_could_not_be_asked_at_first_can_be_asked_later(rig, tmp_path, monkeypatch):
-    """One failure at its start left it without any upgrade for good."""
+def test_the_hand_over_socket_is_opened_later_if_that_fails_at_first(rig, tmp_path, monkeypatch):
+    """A single failure at its start made a process impossible to upgrade."""
     monkeypatch.setattr(predecessor_module, "LISTEN_RETRY_DELAY", wire.RETRY_DELAY)
     real, failures = os.open, []
 
@@ -592,11 +592,11 @@
         assert len(failures) == 3
         link = Link(sock)
         link.send(Kind.HELLO, version())
-        assert link.receive(PATIENCE_SPAN).kind is Kind.NOT_NOW  # it is not ready
+        assert link.receive(RECEIVE_TIMEOUT).kind is Kind.NOT_NOW  # it is not ready
 
 
 def test_a_sender_with_a_control_socket_can_be_upgraded_and_shows_its_counters(tmp_path):
-    """The new process found the socket used by the old one, and did not start."""
+    """The new process found the control socket in use by the old one and did not start."""
     from willownotch.channel.client import ask as ask_control
 
     host = Host()
@@ -625,20 +625,20 @@
         thing.close()
 
 
-def test_the_end_of_a_process_tells_what_was_counted(chain):
-    """More lines of one sort than the log passes were told of by nothing."""
+def test_the_last_log_line_of_a_process_has_its_counters(chain):
+    """Log lines that were suppressed as too frequent were not reported anywhere."""
     sock = chain.sender.connect()
     for _ in range(12):
         chain.sender.exchange(chain.sender.request("GET", "/nowhere"))
-    old, said = chain.upgrade()
+    old, log_lines = chain.upgrade()
     assert old.wait(PATIENCE) == 0
-    until(lambda: any("log line (bad) 12" in line for line in said))
+    until(lambda: any("log line (bad) 12" in line for line in log_lines))
     sock.close()
 
 
 def test_the_middle_of_three_processes_stays_for_what_the_first_passes_on(chain):
-    """It ended with a connection of the first one in hand: that one answered 503 to a request that the third
-    had accepted (soak, seed 108)."""
+    """It exited with a connection of the first process in transit: the first one answered 503 to a request
+    that the third had accepted (soak, seed 108)."""
     half = chain.sender.connect()
     data = chain.sender.message("status")
     half.sendall(data[:60])
@@ -651,7 +651,7 @@
 
 
 def test_a_call_whose_process_is_held_up_is_waited_for_no_longer_than_its_time(chain):
-    """The old process is stopped with a call out: its message and its key wait for the call's time alone."""
+    """The old process is stopped during a call: the message and its key wait only for the call's time."""
     chain.host.held.clear()
     fee, head = chain.sender.hand_in("fee", key="k", left=3000)
     assert head.status == 202
@@ -670,8 +670,8 @@
         first.send_signal(signal.SIGCONT)
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up():
-    """A write to a full pipe waits for good, with the lock that every thread's line needs."""
+def test_a_log_that_nobody_reads_blocks_nothing():
+    """A write to a full pipe blocks forever, holding the lock that every thread needs to log."""
     reading, writing = os.pipe()
     program = """
 import sys
@@ -696,8 +696,8 @@
 
 
 def test_an_interrupted_poll_is_not_taken_for_a_full_pipe_or_a_silent_client(monkeypatch):
-    """With no time left an interrupted poll gives nothing: the line with the operators' address was lost
-    (soak, seed 304)."""
+    """An interrupted poll with no time left returns nothing: the log line with the operators' address was
+    lost (soak, seed 304)."""
 
     class Interrupted:
         def __init__(self):
@@ -713,7 +713,7 @@
     assert sockets.wait(Interrupted(), 0) == [(2, select.POLLOUT)]
 
 
-def test_a_head_that_grew_as_it_was_written_again_is_read_by_the_next_process():
+def test_a_head_that_grew_when_rewritten_is_read_by_the_next_process():
     made = Rig(Verdict.ACCEPTED)
     theirs, ours = pair()
     size = http.MAX_HEAD_BYTES - len(request().split(b"\r\n\r\n")[0]) + 20
@@ -724,8 +724,8 @@
     made.close()
 
 
-def test_a_configuration_that_changes_while_a_process_takes_over_holds_in_it(chain):
-    """Its own reading was older, and the reload that the old process was told of was lost."""
+def test_a_configuration_changed_during_a_hand_over_applies_in_the_new_process(chain):
+    """The new process had read the old file, and the reload that the old process received was lost."""
     old = chain.sender.process
     old.send_signal(signal.SIGSTOP)
     chain.old.append(chain.sender.upgrade_unready())
@@ -742,8 +742,8 @@
     until(lambda: chain.sender.hand_in("extra")[1].status == 202)
 
 
-def test_a_link_outlasts_a_wait_and_a_read_that_fail_for_a_moment(monkeypatch):
-    """ENOMEM in a wait for room on the link ended it, with all connections on their way (soak, seed 327)."""
+def test_a_link_survives_a_wait_and_a_read_that_fail_for_a_moment(monkeypatch):
+    """ENOMEM while waiting to write ended the link, with all connections in transit (soak, seed 327)."""
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     link, failures = Link(ours), []
 
@@ -771,13 +771,13 @@
 
     monkeypatch.setattr(socket, "recv_fds", failing)
     Link(theirs).send(Kind.HANDED_OVER)
-    assert link.receive(PATIENCE_SPAN).kind is Kind.HANDED_OVER and len(reads) == 3
+    assert link.receive(RECEIVE_TIMEOUT).kind is Kind.HANDED_OVER and len(reads) == 3
     link.close()
     theirs.close()
 
 
-def test_a_connection_that_came_with_a_request_is_never_passed_on_without_it(rig):
-    """Between two upgrades: adopted, and its thread not begun yet, it was passed on as one that rests."""
+def test_a_connection_adopted_with_a_request_is_never_passed_on_without_it(rig):
+    """Adopted in one upgrade, with its thread not running yet, it was passed on as idle in the next."""
     begun, passed = [], []
     rig.client_side.start = lambda name, work: begun.append(work)
     theirs, ours = pair()
@@ -789,8 +789,8 @@
     theirs.close()
 
 
-class DiesBeforeItsAnswer(Link):
-    """The new process's end of a link: it ends in the moment in which it would say that it has a client."""
+class EndsBeforeConfirming(Link):
+    """The new process's end of a link, which ends just when it would confirm a client."""
 
     def send(self, kind, data=b"", fds=(), patience=wire.BEGIN_TIMEOUT):
         if kind is Kind.ADOPTED:
@@ -800,34 +800,33 @@
 
 
 def test_a_request_that_the_old_process_answers_503_was_not_begun_by_the_new_one(rig):
-    """A client was told 503, that its message had not been accepted, and the message was sent all the same.
-
-    In an upgrade the old process passes a client on with the request that it has read, and answers 503 itself
-    where the new one does not say that it has it. The new process began to serve the client first and said
-    so afterwards. Where it ended in between (killed, or the middle one of three), the message was in the
-    journal or with a process after it, while the old one saw the end of the link alone and took the client
-    for not passed on: "the other process did not take its request, answered 503". Here the new process's
-    owner has the message in each play, and the old one is told to answer 503.
+    """A client was answered 503, not accepted, and its message was sent all the same.
+
+    The old process passes a client on with the request that it has read, and answers 503 itself if the new
+    one does not confirm it. The new process served the client first and confirmed afterwards. If it ended in
+    between (killed, or the middle one of three), the message was in the journal or with a later process,
+    while the old one only saw the link end. Here the link ends when the new process confirms: the old one
+    answers 503, so the new one must not have handed the message to its decision loop.
     """
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    passes = ClientPassing(Link(ours), rig.clock, rig.log)
+    client_passing = ClientPassing(Link(ours), rig.clock, rig.log)
     successor = Rig(Verdict.ACCEPTED)
     handed = []
     successor.client_side.decision_loop = SimpleNamespace(
         post=lambda item: (handed.append(item), successor.post(item))
     )
-    link = ReceivedHandover(DiesBeforeItsAnswer(theirs), None, None, [])
+    link = ReceivedHandover(EndsBeforeConfirming(theirs), None, None, [])
     predecessor_link = PredecessorLink(link, rig.log, successor, None, successor.client_side)
     client, server = pair()
     found = []
-    start("pass", lambda: found.append(passes.pass_on(server, request(), None, 0)))
-    predecessor_link._adopt(predecessor_link.link.receive(PATIENCE_SPAN))
-    assert passes.link.receive(PATIENCE_SPAN) is None
-    passes.end()
+    start("pass", lambda: found.append(client_passing.pass_on(server, request(), None, 0)))
+    predecessor_link._adopt(predecessor_link.link.receive(RECEIVE_TIMEOUT))
+    assert client_passing.link.receive(RECEIVE_TIMEOUT) is None
+    client_passing.end()
     until(lambda: found and not successor.client_side._clients)
     assert found == [False]  # so the old process answers 503
     assert not handed
-    server.sendall(http.write_answer(503))  # the connection is whole
+    server.sendall(http.write_answer(503))  # the connection is still usable
     assert answer_of(client).status == 503
     for sock in (ours, theirs, client, server):
         sock.close()
@@ -835,29 +834,31 @@
 
 
 def test_a_link_that_fails_for_the_old_process_tells_nothing_of_what_the_new_one_serves(rig, tmp_path):
-    """An error on the link is no end of the other process: it may serve what it has confirmed unheard.
+    """After an error on the link the other process may still serve clients whose confirmation was not read.
 
-    The old process took any error for the other one's end, and answered 503 for the clients on their way.
-    What was confirmed before is read all the same; where even that fails, the client is left to the other.
+    The old process took any error for the end of the other one, and answered 503 to the clients in transit.
+    Confirmations sent before the error are still read; if that fails too, the clients are left to the other
+    process.
     """
     for readable in (True, False):
         ours, theirs = socket.socketpair(socket.AF_UNIX)
-        passes = ClientPassing(Link(ours), rig.clock, rig.log)
+        client_passing = ClientPassing(Link(ours), rig.clock, rig.log)
         client, server = pair()
         found = []
         start(
-            "pass", lambda to=found, by=passes, sock=server: to.append(by.pass_on(sock, request(), None, 0))
+            "pass",
+            lambda to=found, by=client_passing, sock=server: to.append(by.pass_on(sock, request(), None, 0)),
         )
         other = Link(theirs)
-        frame = other.receive(PATIENCE_SPAN)
+        frame = other.receive(RECEIVE_TIMEOUT)
         other.send(Kind.ADOPTED, wire_data(frame))
         if not readable:
             theirs.sendall(b"no frame of a hand-over" * 2)
         else:
-            passes.link.receive = failing_once(passes.link.receive)
+            client_passing.link.receive = failing_once(client_passing.link.receive)
         predecessor = predecessor_of(rig, tmp_path, SharedLifecycle(), rig)
-        predecessor._passing = passes if readable else Unheard(passes)
-        predecessor._receive_until_end(passes.link)
+        predecessor._passing = client_passing if readable else LostConfirmations(client_passing)
+        predecessor._receive_until_end(client_passing.link)
         until(lambda to=found: to)
         assert found == [True], readable
         with pytest.raises(OSError):
@@ -868,18 +869,18 @@
             sock.close()
 
 
-class Unheard:
-    """Passing whose confirmations are lost on the way."""
+class LostConfirmations:
+    """A `ClientPassing` whose confirmations are lost in transit."""
 
-    def __init__(self, passes):
-        self.end = passes.end
+    def __init__(self, client_passing):
+        self.end = client_passing.end
 
     def answered(self, number, adopted):
-        """Nothing is heard of it."""
+        """Drop the confirmation."""
 
 
 def failing_once(receive):
-    """As `receive`, but for an error at the first call."""
+    """Return `receive` with an error at its first call."""
     failures = [OSError(errno.ENOBUFS, "no buffer space")]
 
     def receive_or_fail(patience):
@@ -896,8 +897,8 @@
     return msgspec.msgpack.encode(Adopted(msgspec.msgpack.decode(frame.data, type=Client).number))
 
 
-class LeavesFirst:
-    """A client's lock: who asks for it first finds that the client has just left, its socket closed."""
+class DisconnectFirst:
+    """A client's lock. Before it is first acquired, the client disconnects and its socket is closed."""
 
     def __init__(self, lock, leave):
         self.lock, self.leave = lock, leave
@@ -912,17 +913,16 @@
 
 
 def test_a_client_that_leaves_while_the_idle_ones_are_passed_on_leaves_the_link_good(rig):
-    """A client was told 503, and its message was sent all the same (soak, seed 108, three upgrades deep).
-
-    The old process passes its idle clients on. One of them ended just then, and its descriptor was closed: "a
-    connection could not be passed on: [Errno 9] Bad file descriptor". That error ended the link of the two
-    processes: "[Errno 32] the link to the other process is over", once for each client that was left. The
-    one request on its way had been accepted by the new process; the old one took the end of the link for the
-    end of that process, and answered 503 itself, 4 ms before "202 could not be written for 000020000000016c,
-    withdrawn: [Errno 32] Broken pipe", and 19 ms before the message was called.
+    """A client was answered 503, and its message was sent all the same (soak, seed 108, third upgrade).
+
+    While the old process passed its idle clients on, one of them disconnected and its descriptor was closed.
+    The resulting EBADF ended the link, and every remaining client failed with EPIPE. The one request in
+    transit had been accepted by the new process; the old one took the end of the link for the end of that
+    process and answered 503 itself, 4 ms before the new one failed to write its 202 and withdrew the message,
+    and 19 ms before the call was made.
     """
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    passes, other = ClientPassing(Link(ours), rig.clock, rig.log), Link(theirs)
+    client_passing, other = ClientPassing(Link(ours), rig.clock, rig.log), Link(theirs)
     (leaving, leaves), (staying, stays) = pair(), pair()
     assert rig.client_side.adopt(leaves, b"", None, 1)
     first = until(lambda: [c for c in rig.client_side._clients if c.stage is Stage.IDLE])[0]
@@ -933,12 +933,12 @@
         leaving.close()
         until(lambda: first not in rig.client_side._clients)
 
-    first.lock = LeavesFirst(first.lock, leave)
-    rig.client_side.redirect(passes.pass_on)
+    first.lock = DisconnectFirst(first.lock, leave)
+    rig.client_side.redirect(client_passing.pass_on)
     rig.client_side.pass_on_idle()
-    frame = other.receive(PATIENCE_SPAN)
+    frame = other.receive(RECEIVE_TIMEOUT)
     assert frame.kind is Kind.CLIENT and len(frame.fds) == 1
-    assert not passes.link.broken
+    assert not client_passing.link.broken
     for descriptor in frame.fds:
         os.close(descriptor)
     for sock in (ours, theirs, staying):
@@ -951,7 +951,7 @@
     with pytest.raises(OSError):
         link.send(Kind.CLIENT, b"a", (-1,))
     link.send(Kind.CLIENT, b"b", (ours.fileno(),))
-    frame = Link(theirs).receive(PATIENCE_SPAN)
+    frame = Link(theirs).receive(RECEIVE_TIMEOUT)
     assert frame.data == b"b" and len(frame.fds) == 1
     os.close(frame.fds[0])
     link.close()
