--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -158,7 +158,7 @@
                 if step != "hello":
                     self.assertIs(link.receive(None).kind, Kind.STATE)
                 if step == "torn":
-                    link.sock.sendall(HEAD.pack(MAGIC, Kind.TOOK, 0, 9) + b"half")
+                    link.sock.sendall(HEAD.pack(MAGIC, Kind.STATE_READ, 0, 9) + b"half")
                 link.close()
                 until(lambda: "this one keeps serving" in "".join(self.sender.lines[-3:]))
                 self.assertEqual(self.sender.hand_in()[1].status, 202)
@@ -192,7 +192,7 @@
 
     def test_relays_resume_after_a_peer_with_different_sources_dies(self):
         link = self.ask(b"another")
-        self.assertIs(link.receive(None).kind, Kind.PLAIN)
+        self.assertIs(link.receive(None).kind, Kind.LISTENER_ONLY)
         link.close()
         until(lambda: any("this one keeps serving" in line for line in self.sender.lines))
         self.check_delivery()
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -174,7 +174,7 @@
 
     def post(self, order):
         assert isinstance(order, HandOver)
-        start("decision-loop", lambda: self._hand_over(order))
+        start("owner", lambda: self._hand_over(order))
 
     def _hand_over(self, order):
         order.pending.claim()
@@ -216,7 +216,7 @@
     )
     other = Link(theirs)
     other.send(Kind.HELLO, version())
-    other.send(Kind.TOOK, LOCK_WANTED)
+    other.send(Kind.STATE_READ, LOCK_WANTED)
     before = decision_loop.forward
     assert predecessor._handle_request(Link(ours))
     until(lambda: decision_loop.seen)
@@ -299,7 +299,7 @@
     state = HEAD.pack(MAGIC, Kind.STATE, 3, 0)
     assert Frames().feed(state, [4, 5], truncated=True) == [Frame(Kind.STATE, b"", (4, 5), truncated=True)]
     with pytest.raises(BadFrameError):
-        Successor._read(None, Frame(Kind.PLAIN, b"", (), truncated=True))
+        Successor._read(None, Frame(Kind.LISTENER_ONLY, b"", (), truncated=True))
 
 
 def test_a_client_that_cannot_be_taken_is_answered_by_the_process_that_read_its_request(rig):
@@ -528,7 +528,7 @@
     link = ask(chain)
     late = ask(chain)  # in the backlog: requests are handled one after the other
     assert link.receive(RECEIVE_TIMEOUT).kind is Kind.STATE
-    link.send(Kind.TOOK)
+    link.send(Kind.STATE_READ)
     assert link.receive(RECEIVE_TIMEOUT).kind is Kind.HANDED_OVER
     began = time.monotonic()
     with pytest.raises(ConnectionResetError):
@@ -559,7 +559,7 @@
 
     decision_loop, endpoint_side = Recorder(), Recorder()
     predecessor = predecessor_of(rig, tmp_path, rig.lifecycle, decision_loop, endpoint_side)
-    predecessor._handle_frame(Frame(Kind.CALL_OFF, msgspec.msgpack.encode(["m1", 3])))
+    predecessor._handle_frame(Frame(Kind.CANCEL, msgspec.msgpack.encode(["m1", 3])))
     assert decision_loop.calls == endpoint_side.calls == [("m1", 3)]
 
 
--- a/willownotch/bodies/show.py
+++ b/willownotch/bodies/show.py
@@ -25,7 +25,7 @@
     oldest_s: float | None = None
 
 
-class Kept(msgspec.Struct):
+class FolderSummary(msgspec.Struct):
     """The bodies of a folder.
 
     `damaged` lists messages whose body is missing, truncated or, if bodies were read, of another checksum.
@@ -65,7 +65,7 @@
     return sorted(rows.values(), key=lambda r: (-r.bytes, r.message_class, r.destination, r.step))
 
 
-def look(folder: Path, messages: list[AcceptedMessage], now: datetime, verify: bool = False) -> Kept:
+def look(folder: Path, messages: list[AcceptedMessage], now: datetime, verify: bool = False) -> FolderSummary:
     """Summarise a folder; with `verify` every body is read and its checksum compared."""
     found = ((f.name[len(PREFIX) :], f) for f in folder.glob(f"{PREFIX}*"))
     files = {int(number): file for number, file in found if number.isdigit()}
@@ -82,21 +82,23 @@
                 if checksum(file.read(place.size)) != place.checksum:
                     damaged.append(message.ref)
     live = sum(message.place.size for message in messages if message.place is not None)
-    return Kept(collect(messages, now), len(files), sum(map(round_to_blocks, sizes.values())), live, damaged)
+    return FolderSummary(
+        collect(messages, now), len(files), sum(map(round_to_blocks, sizes.values())), live, damaged
+    )
 
 
-def table(kept: Kept) -> str:
+def table(summary: FolderSummary) -> str:
     """Format the summary for people."""
     lines = [f"{'class':<16} {'dest':>6} {'step':<7} {'bodies':>7} {'bytes':>12} {'age':>17}"]
-    for row in kept.rows:
+    for row in summary.rows:
         age = "-" if row.oldest_s is None else f"{row.youngest_s:.1f} to {row.oldest_s:.1f} s"
         lines.append(
             f"{row.message_class:<16} {row.destination:>6} {row.step:<7} {row.bodies:>7} "
             f"{row.bytes:>12} {age:>17}"
         )
     lines.append(
-        f"{kept.files} files of {kept.files_bytes} bytes, {kept.live_bytes} of them live; "
-        f"{len(kept.damaged)} bodies missing or damaged{': ' * bool(kept.damaged)}"
-        f"{', '.join(kept.damaged[:20])}"
+        f"{summary.files} files of {summary.files_bytes} bytes, {summary.live_bytes} of them live; "
+        f"{len(summary.damaged)} bodies missing or damaged{': ' * bool(summary.damaged)}"
+        f"{', '.join(summary.damaged[:20])}"
     )
     return "\n".join(lines)
--- a/willownotch/bodies/store.py
+++ b/willownotch/bodies/store.py
@@ -40,7 +40,7 @@
 )  # without work, after which an active segment without live bodies is removed
 WRITE_RETRY_DELAY = timedelta(milliseconds=500)  # after the disk refused a write
 NO_ROOM = "the disk space for bodies is used up"
-CLAIMED_PATIENCE = timedelta(seconds=2)  # for the result of a write that the store's thread has finished
+CLAIMED_PATIENCE = timedelta(seconds=2)  # for the result, once the store's thread has claimed the request
 READ_ATTEMPTS = 3  # a body may be moved while it is read
 
 
@@ -319,7 +319,7 @@
         """Keep a body in memory for one relay, if there is room."""
         size = len(message.body)
         with self._lock:
-            # Cached bodies are in files too, so they make way for one that is stored nowhere else.
+            # Cached bodies are in files too, so they are dropped for one that is stored nowhere else.
             while self._cache and self.usage.memory + size > self.limits.memory:
                 self._spill_one(-inf)
             if not plan.one_try_fits(self.limits, self.usage, self.unkept, message.destination, size):
--- a/willownotch/handover/predecessor.py
+++ b/willownotch/handover/predecessor.py
@@ -31,7 +31,7 @@
 
 HELLO_TIMEOUT = timedelta(seconds=1)  # for the other process to say what it is
 PAUSE_TIMEOUT = timedelta(seconds=2)  # until the decision loop pauses between two rounds
-TOOK_TIMEOUT = timedelta(seconds=2)  # for the other process to read the state; then this one keeps serving
+STATE_READ_TIMEOUT = timedelta(seconds=2)  # after it the hand-over fails and this process keeps serving
 FINISH_TIMEOUT = timedelta(seconds=2)  # for calls in progress, if the other process runs different sources
 LEAVE_TIMEOUT = timedelta(seconds=20)  # for calls in progress after the hand-over
 CLIENT_ANSWER_TIMEOUT = timedelta(milliseconds=500)  # for clients still here, once the other process is gone
@@ -210,7 +210,7 @@
         """Send the state and, once it was read, HANDED_OVER; return whether it was read."""
         listener = self.client_side.listener.fileno()
         if state is None:
-            link.send(Kind.PLAIN, fds=(listener,))
+            link.send(Kind.LISTENER_ONLY, fds=(listener,))
         else:
             from willownotch.handover import pickled
 
@@ -218,8 +218,8 @@
             state.idle = [(number, idle.since) for number, idle in lent]
             descriptors = (listener, *(idle.sock.fileno() for _, idle in lent))
             link.send(Kind.STATE, pickled.write(state), descriptors)
-        answer = link.receive(TOOK_TIMEOUT)
-        if answer is None or answer.kind is not Kind.TOOK:
+        answer = link.receive(STATE_READ_TIMEOUT)
+        if answer is None or answer.kind is not Kind.STATE_READ:
             return False
         self._passing = ClientPassing(link, self.clock, self.log)
         self._lock_passed = answer.data == LOCK_WANTED
@@ -294,7 +294,7 @@
 
     def _handle_frame(self, frame: Frame) -> None:
         decode = msgspec.msgpack.decode
-        if frame.kind is Kind.CALL_OFF:
+        if frame.kind is Kind.CANCEL:
             call = decode(frame.data, type=CancelAttempt)
             self.endpoint_side.cancel_by_id(call.ref, call.number)
             self.decision_loop.cancel_remote(call.ref, call.number)
--- a/willownotch/handover/successor.py
+++ b/willownotch/handover/successor.py
@@ -77,7 +77,7 @@
             if frame is None or frame.kind is Kind.NOT_NOW:
                 return None
             received, frame = self._read(link, frame), None  # `received` owns the descriptors from here on
-            link.send(Kind.TOOK, LOCK_WANTED)
+            link.send(Kind.STATE_READ, LOCK_WANTED)
             answer = link.receive(ANSWER_TIMEOUT)
             if answer is None or answer.kind is not Kind.HANDED_OVER:
                 raise BadFrameError("the old process did not confirm the hand-over")
@@ -101,7 +101,7 @@
     def _read(link: Link, frame: Frame) -> ReceivedHandover:
         if frame.truncated or not frame.fds:
             raise BadFrameError("descriptors did not arrive, as this process has too few free ones")
-        if frame.kind is Kind.PLAIN:
+        if frame.kind is Kind.LISTENER_ONLY:
             return ReceivedHandover(link, socket.socket(fileno=frame.fds[0]), None, [])
         if frame.kind is not Kind.STATE:
             raise BadFrameError(f"{frame.kind.name} is not a valid answer to HELLO")
@@ -149,7 +149,7 @@
     def cancel_by_id(self, ref: str, number: int) -> None:
         """Have the old process stop waiting for a call, given its message and number."""
         try:
-            self.link.send(Kind.CALL_OFF, msgspec.msgpack.encode(CancelAttempt(ref, number)))
+            self.link.send(Kind.CANCEL, msgspec.msgpack.encode(CancelAttempt(ref, number)))
         except OSError:
             pass  # the old process has ended: `run` reports it
 
@@ -190,9 +190,7 @@
         try:
             self.link.send(kind, msgspec.msgpack.encode(Adopted(number)))
         except OSError as fault:
-            self.log.say(
-                "upgrade", f"the old process was not sent {kind.name} for client {number}: {fault}"
-            )
+            self.log.say("upgrade", f"the old process was not sent {kind.name} for client {number}: {fault}")
             return False
         return True
 
--- a/willownotch/handover/wire.py
+++ b/willownotch/handover/wire.py
@@ -35,13 +35,13 @@
     HELLO = 1  # new to old: the version of the process that asks for the state
     NOT_NOW = 2  # old to new: not possible now, ask again
     STATE = 3  # old to new: the state, with the listening socket and idle connections to endpoints
-    PLAIN = 4  # old to new: the listening socket without a state: start from the journal
-    TOOK = 5  # new to old: the state was read; with `LOCK_WANTED` the lock's descriptor is asked for
+    LISTENER_ONLY = 4  # old to new: the listening socket without a state: start from the journal
+    STATE_READ = 5  # new to old: the state was read; with `LOCK_WANTED` the lock's descriptor is asked for
     HANDED_OVER = 6  # old to new: everything is handed over; has the lock's descriptor if it was asked for
     CLIENT = 7  # old to new: a client's connection, and its unanswered request, if any
     ENDED = 8  # old to new: a call that was in progress has ended
     WITHDRAWN = 9  # old to new: a client disconnected before it was told that its message was accepted
-    CALL_OFF = 10  # new to old: stop waiting for a call
+    CANCEL = 10  # new to old: stop waiting for a call
     ADOPTED = 11  # new to old: a client's connection was adopted, the old process may close its descriptor
     NOT_ADOPTED = 12  # new to old: it could not be adopted: the old process answers it
 
