--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from willownotch.lifecycle import COMING, UNDER_WAY, Event, Lifecycle, State
+from willownotch.lifecycle import QUIESCE_GRACE, REQUEST_TRANSIT_TIME, Event, Lifecycle, State
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
-LATER = NOW + COMING
+LATER = NOW + QUIESCE_GRACE
 
 
 def after(*events):
@@ -56,12 +56,12 @@
 
 def test_a_drain_takes_what_is_under_way_and_then_hands_back():
     life = after(E.LISTED, E.QUIESCE)
-    assert life.takes_messages(LATER - timedelta(milliseconds=1)) and not life.takes_messages(LATER)
-    assert life.last_answer() and not after(E.LISTED).last_answer()
-    assert not life.ends_idle(NOW - timedelta(hours=1), NOW)  # told this moment: nobody has heard of it
-    assert life.ends_idle(NOW - timedelta(hours=1), NOW + UNDER_WAY)
-    assert not life.ends_idle(NOW + UNDER_WAY / 2, NOW + UNDER_WAY)
-    assert not after(E.LISTED).ends_idle(NOW - timedelta(hours=1), LATER)
+    assert life.accepts_messages(LATER - timedelta(milliseconds=1)) and not life.accepts_messages(LATER)
+    assert life.closes_after_answer() and not after(E.LISTED).closes_after_answer()
+    assert not life.closes_idle(NOW - timedelta(hours=1), NOW)  # told this moment: nobody has heard of it
+    assert life.closes_idle(NOW - timedelta(hours=1), NOW + REQUEST_TRANSIT_TIME)
+    assert not life.closes_idle(NOW + REQUEST_TRANSIT_TIME / 2, NOW + REQUEST_TRANSIT_TIME)
+    assert not after(E.LISTED).closes_idle(NOW - timedelta(hours=1), LATER)
 
 
 def test_a_second_quiesce_does_not_begin_the_drain_again():
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -299,7 +299,7 @@
     timebase.restore_early(clock, config.state, files)
     log = Log(clock, config.name)
     lifecycle, threads, inherited = SharedLifecycle(), Threads(log), None
-    lifecycle.changed = lambda before, after, event: log.say(
+    lifecycle.on_change = lambda before, after, event: log.say(
         "state", f"{before.value} to {after.value}: {event.value}, process {os.getpid()}"
     )
     calls = Calls(lifecycle, clock, log)
@@ -368,10 +368,9 @@
     except (OSError, ValueError, OverflowError) as fault:
         print(f"willownotch: cannot start: {fault}", file=sys.stderr)
         sys.stderr.flush()
-        os._exit(
-            EXIT_FAULTY
-        )  # operators may be answered already, and a thread of theirs is no reason to stay
-    calls.empty = lambda: threads.start("drain", client_side.empty)
+        # Operators may be answered already, and a thread of theirs is no reason to stay
+        os._exit(EXIT_FAULTY)
+    calls.empty = lambda: threads.start("drain", client_side.close_idle_while_draining)
     for fault in journal.faults:
         log.say("journal", fault)
     bodies.would_reject = decision_loop.would_reject
--- a/willownotch/lifecycle.py
+++ b/willownotch/lifecycle.py
@@ -1,7 +1,7 @@
-"""What state this sender is in, and what that means for clients, readiness and relays. No I/O, no clock.
+"""The state of a sender, and what it means for clients, readiness and relays. No I/O, no clock.
 
-Signals, operators' calls, the owner and a hand-over tell it what happened, in any order. `Life` is
-immutable, and `happened` gives the next one. Every question about a state is answered here and nowhere else.
+Signals, operators' calls, the decision loop and a hand-over report events, in any order. `Lifecycle` is
+immutable; `after_event` returns the next one. Every question about a state is answered here and nowhere else.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from datetime import datetime, timedelta
 from enum import Enum
 
-COMING = timedelta(milliseconds=1500)  # after `quiesce`, clients that have not heard of it may still come
-UNDER_WAY = timedelta(milliseconds=400)  # a request may be on its way to a connection that was idle so long
+# After `quiesce`, clients that do not know of it yet may still connect.
+QUIESCE_GRACE = timedelta(milliseconds=1500)
+REQUEST_TRANSIT_TIME = timedelta(milliseconds=400)  # a request may still be on its way to an idle connection
 
 
 class State(Enum):
-    """As operators are told it."""
+    """The states, with the names that operators see."""
 
     STARTING = "starting"
     READY = "ready"
@@ -31,92 +32,95 @@
 class Event(Enum):
     """What can happen to a sender."""
 
-    LISTED = "listed"  # the journal is replayed and there is a usable list
+    LISTED = "listed"  # the journal is replayed and there is a usable list of endpoints
     QUIESCE = "quiesce"
     RESUME = "resume"
-    HAND_OVER = "hand over"  # another process asks for everything: nothing is decided here for a moment
-    HAND_OVER_FAILED = "kept"  # it went wrong: all goes on here
-    HANDED_OVER = "given"  # the other process has it all
+    HAND_OVER = "hand over"  # another process asks for everything: nothing is decided until it has answered
+    HAND_OVER_FAILED = "kept"  # this process continues with everything
+    HANDED_OVER = "given"  # the other process has everything
     STOP = "stop"  # SIGTERM
 
 
 @dataclass(frozen=True, slots=True)
 class Lifecycle:
-    """One moment of it."""
+    """What has happened to a sender so far, as far as its state depends on it."""
 
     listed: bool = False
-    drained_at: datetime | None = None  # since when an operator wants it empty
+    draining_since: datetime | None = None  # when an operator asked for it to become empty
     handing_over: bool = False
     handed_over: bool = False
     stopping: bool = False
 
     def after_event(self, event: Event, now: datetime) -> Lifecycle:
-        """The next moment. What changes nothing gives the same one: every order may come twice."""
+        """The lifecycle after an event; the same object if nothing changes, as each order may be repeated."""
         if event is Event.LISTED:
             return replace(self, listed=True)
         if event is Event.QUIESCE:
-            return self if self.drained_at is not None else replace(self, drained_at=now)
+            return self if self.draining_since is not None else replace(self, draining_since=now)
         if event is Event.RESUME:
-            return replace(self, drained_at=None)
+            return replace(self, draining_since=None)
         if event is Event.STOP:
             return replace(self, stopping=True)
         if self.handed_over:  # a hand-over is never taken back
             return self
-        if event is Event.HAND_OVER and self.stopping:  # none is begun with the end in sight
+        if event is Event.HAND_OVER and self.stopping:  # a process that is about to end begins none
             return self
         return replace(self, handing_over=event is Event.HAND_OVER, handed_over=event is Event.HANDED_OVER)
 
     def state(self, now: datetime) -> State:
-        """The one word for it; what stands further up hides what stands below."""
-        coming = self.drained_at is not None and now < self.drained_at + COMING
+        """The state to report: the first entry of the table that applies hides those below it."""
+        quiescing = self.draining_since is not None and now < self.draining_since + QUIESCE_GRACE
         table = [
             (self.handed_over, State.RETIRED),
             (self.handing_over, State.HANDING_OVER),
             (self.stopping, State.STOPPING),
-            (coming, State.QUIESCING),
-            (self.drained_at is not None, State.QUIESCED),
+            (quiescing, State.QUIESCING),
+            (self.draining_since is not None, State.QUIESCED),
             (not self.listed, State.STARTING),
         ]
-        return next((state for holds, state in table if holds), State.READY)
+        return next((state for applies, state in table if applies), State.READY)
 
     def ready(self) -> bool:
-        """What readiness answers. A stopping sender serves until it is killed; one that hands over, too."""
-        return self.listed and self.drained_at is None and not self.handed_over
+        """What the readiness check answers.
 
-    def takes_messages(self, now: datetime) -> bool:
-        """Whether a message is decided on here, rather than handed back at once."""
-        return self.handed_over or self.drained_at is None or now < self.drained_at + COMING
+        A sender that stops or hands over still serves, so it is ready.
+        """
+        return self.listed and self.draining_since is None and not self.handed_over
 
-    def last_answer(self) -> bool:
-        """Whether a connection ends with the answer that is written now."""
-        return self.drained_at is not None
+    def accepts_messages(self, now: datetime) -> bool:
+        """Whether hand-ins are decided on; otherwise they are rejected at once."""
+        return self.handed_over or self.draining_since is None or now < self.draining_since + QUIESCE_GRACE
 
-    def ends_idle(self, idle_since: datetime, now: datetime) -> bool:
-        """Whether a connection that has been idle since then is ended."""
-        began = self.drained_at
-        return began is not None and now - max(idle_since, began) >= UNDER_WAY
+    def closes_after_answer(self) -> bool:
+        """Whether a client connection is closed after the answer that is being written."""
+        return self.draining_since is not None
+
+    def closes_idle(self, idle_since: datetime, now: datetime) -> bool:
+        """Whether a client connection that has been idle since then is to be closed."""
+        began = self.draining_since
+        return began is not None and now - max(idle_since, began) >= REQUEST_TRANSIT_TIME
 
 
 class SharedLifecycle:
-    """The present moment, for all threads: one value that is replaced whole."""
+    """The current lifecycle, shared by all threads: one immutable value that is replaced as a whole."""
 
     def __init__(self) -> None:
         self.current = Lifecycle()
-        self.changed: Callable[[State, State, Event], None] = lambda before, after, event: None
+        self.on_change: Callable[[State, State, Event], None] = lambda before, after, event: None
         self._changed = threading.Condition()
 
     def tell(self, event: Event, now: datetime) -> Lifecycle:
-        """Something happened; the moment after it."""
+        """Apply an event and return the lifecycle after it; calls `on_change` if it differs."""
         with self._changed:
             before, current = self.current, self.current.after_event(event, now)
             self.current = current
             self._changed.notify_all()
         if current != before:
-            self.changed(before.state(now), current.state(now), event)
+            self.on_change(before.state(now), current.state(now), event)
         return current
 
     def wait_handed_over(self) -> bool:
-        """Whether another process has everything; where a hand-over is under way, once that is decided."""
+        """Whether another process has everything; waits for the outcome if a hand-over is in progress."""
         with self._changed:
             self._changed.wait_for(lambda: self.current.handed_over or not self.current.handing_over)
             return self.current.handed_over
--- a/willownotch/net/client_side.py
+++ b/willownotch/net/client_side.py
@@ -1,4 +1,4 @@
-"""The client side: clients hand messages in here, each connection on a small thread of its own."""
+"""The HTTP server that clients hand messages in to, with one thread for each connection."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 from willownotch.journal.records import AcceptedMessage
 from willownotch.lifecycle import SharedLifecycle
 from willownotch.net import http, sockets
-from willownotch.net.client_connections import SILENT_TIME, Client, Stage, StageQueues, clients_most
+from willownotch.net.client_connections import (
+    SILENT_TIMEOUT,
+    Client,
+    Stage,
+    StageQueues,
+    max_client_connections,
+)
 from willownotch.net.client_requests import RefusedError, read_message, rewrite_request
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
@@ -32,43 +38,53 @@
 from willownotch.net.pending import PendingReply
 from willownotch.net.rules import Rules
 
-DECISION_TIMEOUT = timedelta(
-    milliseconds=250
-)  # a client waits 400 ms: what is not taken up by then is turned away
-PATIENCE_LEAST = timedelta(milliseconds=50)  # for what the process before had read, and had no time for
-CLAIMED_PATIENCE = timedelta(seconds=5)  # for what is being decided then: it may be owed already
-IDLE_TIME = timedelta(seconds=3)  # between requests: some clients ask once and stay for good
-REQUEST_TIME = timedelta(seconds=2)  # from connecting, and from a later request's first byte, to its last
-LINGER_TIME, LINGER_MOST = timedelta(milliseconds=300), 256 * 1024  # read on before a close; bytes
-STOP_LOOK = timedelta(milliseconds=25)
-DRAIN_LOOK, SILENT_DRAIN = timedelta(milliseconds=100), timedelta(milliseconds=800)  # while it is emptied
-BAD_PAUSE, BAD_PAUSE_MOST = timedelta(milliseconds=10), timedelta(milliseconds=500)  # doubles with each
-DROPPED_TIME = timedelta(seconds=1)  # messages of a class that is dropped may be on their way for so long
-RETRY = timedelta(milliseconds=500)  # told where nothing better is known
+# A client waits 400 ms for its answer. What the decision loop has not picked up by then is rejected.
+DECISION_TIMEOUT = timedelta(milliseconds=250)
+# For a request that another process has read, and passed on late
+MIN_DECISION_TIMEOUT = timedelta(milliseconds=50)
+# Once the decision loop has picked a request up, its message may already be accepted: the answer is awaited.
+CLAIMED_DECISION_TIMEOUT = timedelta(seconds=5)
+IDLE_TIMEOUT = timedelta(seconds=3)  # between requests: some clients send one and never close
+# From connecting, or a later request's first byte, to its last byte
+REQUEST_READ_TIMEOUT = timedelta(seconds=2)
+LINGER_TIMEOUT, MAX_LINGER_BYTES = timedelta(milliseconds=300), 256 * 1024  # read after the last answer
+STOP_CHECK_INTERVAL = timedelta(milliseconds=25)
+# During a drain: between two looks at idle connections, and the time for a new connection's first request.
+DRAIN_CHECK_INTERVAL, DRAIN_FIRST_REQUEST_GRACE = timedelta(milliseconds=100), timedelta(milliseconds=800)
+BAD_REQUEST_DELAY, MAX_BAD_REQUEST_DELAY = timedelta(milliseconds=10), timedelta(milliseconds=500)  # doubles
+# Messages of a class removed by a reload may still be on their way
+REMOVED_CLASS_GRACE = timedelta(seconds=1)
+DEFAULT_RETRY_AFTER = timedelta(milliseconds=500)  # where the decision loop gives no time
 BACKLOG = 512
 
 
-class MovedError(Exception):
-    """This client's connection is another process's now."""
+class ConnectionMovedError(Exception):
+    """Another process has taken over this client's connection."""
 
 
 class PassOn(Protocol):
-    """Has another process go on with a connection, and with what was asked on it; whether it does."""
+    """Passes a connection, with the request read from it if any, to another process; whether it was taken."""
 
     def __call__(
         self,
         sock: socket.socket,
         request: bytes,
         arrived: datetime | None,
-        asked: int,
+        requests_read: int,
         read_at: datetime | None = None,
     ) -> bool:
-        """Any thread may call; it takes no longer than a client waits, unless the other process has it."""
+        """Any thread may call.
+
+        Returns within a client's waiting time, unless the other process has taken it.
+        """
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a client is answered. `taken` is the message taken on by it, withdrawn if it cannot be told."""
+    """An answer to a client.
+
+    `message` is the id of the message that it accepts; that is withdrawn if the answer cannot be written.
+    """
 
     status: int
     body: bytes = b""
@@ -78,7 +94,7 @@
 
 
 class ClientSide:
-    """The listener and the connections it has taken."""
+    """The listener for clients, and the connections that it has accepted."""
 
     def __init__(
         self,
@@ -99,8 +115,8 @@
             decision_loop,
             start,
         )
-        self.max_clients = clients_most(config)
-        self._dropped: tuple[dict[str, Rules], datetime] = ({}, datetime.max.replace(tzinfo=UTC))
+        self.max_clients = max_client_connections(config)
+        self._removed_classes: tuple[dict[str, Rules], datetime] = ({}, datetime.max.replace(tzinfo=UTC))
         self._clients: set[Client] = set()
         self._stages = StageQueues()
         self._clients_changed = threading.Condition()
@@ -109,70 +125,78 @@
         self.port = self.listener.getsockname()[1]
         self._stopping = False
         self._redirect_to: PassOn | None = None
-        self._pause = threading.Event()  # never set: a wait of a moment
+        self._never_set = threading.Event()  # used to sleep
 
     def apply_settings(self, config: Config) -> None:
-        """Read messages by these settings from now on; a class that they drop is taken for a moment more."""
-        dropped = {name: rules for name, rules in self.config.rules.items() if name not in config.rules}
-        if dropped:
-            self._dropped = dropped, self.clock.now() + DROPPED_TIME
-        self.config, self.max_clients = config, clients_most(config)
+        """Use these settings for new requests.
+
+        Classes that they remove are accepted for a short time more.
+        """
+        removed = {name: rules for name, rules in self.config.rules.items() if name not in config.rules}
+        if removed:
+            self._removed_classes = removed, self.clock.now() + REMOVED_CLASS_GRACE
+        self.config, self.max_clients = config, max_client_connections(config)
 
-    def stop(self, patience: timedelta) -> None:
-        """Take no more connections, and let each that is open finish the request it has.
+    def stop(self, read_time: timedelta) -> None:
+        """Accept no more connections, and let each open one finish its current request.
 
-        What is still not whole after `patience` is turned away. Nothing is read after that: the process may
-        be killed before it could be answered.
+        A request that is still incomplete after `read_time` is rejected. Nothing is read after that, as the
+        process may be killed before it could answer.
         """
         self._stopping = True
         with self._accepting:
             self._accept_backlog()
             self.listener.close()
-        cut = self.clock.now() + patience
-        ends = cut + DECISION_TIMEOUT
+        cut_at = self.clock.now() + read_time
+        ends = cut_at + DECISION_TIMEOUT
         with self._clients_changed:
             while self._clients and (now := self.clock.now()) < ends:
                 for client in self._clients:
-                    # Who has just connected is about to ask.
-                    if now >= cut or client.stage is not Stage.SILENT or now - client.opened >= SILENT_TIME:
-                        self._end(client, "stop", cut=now >= cut)
-                self._clients_changed.wait(seconds(STOP_LOOK))
+                    # A client that has just connected is about to send a request.
+                    if (
+                        now >= cut_at
+                        or client.stage is not Stage.SILENT
+                        or now - client.opened >= SILENT_TIMEOUT
+                    ):
+                        self._end(client, "stop", cut=now >= cut_at)
+                self._clients_changed.wait(seconds(STOP_CHECK_INTERVAL))
 
     def _accept_backlog(self) -> None:
-        """Take what waits to be accepted: it would be reset with the listener."""
+        """Accept the connections that wait in the backlog: closing the listener would reset them."""
         failures = 0
-        while len(self._clients) < self.max_clients and failures < sockets.TRIES:
+        while len(self._clients) < self.max_clients and failures < sockets.MAX_TRIES:
             try:
                 self._accept()
             except BlockingIOError:
-                return  # there is no more
+                return  # the backlog is empty
             except OSError:
                 failures += 1
 
     @staticmethod
     def _end(client: Client, why: str = "ended here", cut: bool = False) -> None:
-        """Take no request after the one that it has. One that rests is shut; `cut`: also one that reads.
-        For who holds the lock of all clients.
+        """Read no request after the current one. Shuts down an idle connection, with `cut` a reading one,
+        too.
 
-        Whoever shuts a connection does so here, where no byte can be taken off it meanwhile. What crosses
-        this is never read as a request: its client sees the end, and hands it in again elsewhere. Our sending
-        side is ended, so that the client goes; for a cut only the other one, which wakes its thread at once.
+        The caller holds the lock of all clients. Connections are shut down only here, where no byte can be
+        read from them at the same time. A request that arrives at this moment is never read: its client sees
+        the connection end, and hands the message in again elsewhere. Our sending side is shut down, so that
+        the client closes; with `cut` only the receiving side, which wakes the connection's thread at once.
         """
         with client.lock:
-            if client.moved or client.shut:  # it is not ours to end, or ended
+            if client.moved or client.shut:  # it is another process's, or shut down already
                 return
             client.ending = True
             if not client.waits() and (not cut or client.stage is Stage.ANSWERING):
                 return
             client.shut = True
-            client.why = why
+            client.close_reason = why
             try:
                 client.sock.shutdown(socket.SHUT_RD if cut else socket.SHUT_WR)
             except OSError:
-                pass  # it is gone already
+                pass  # the connection is closed already
 
     def run(self) -> None:
-        """Take connections until the process ends."""
+        """Accept connections until the process ends."""
         waiting = select.poll()
         waiting.register(self.listener, select.POLLIN)
         while True:
@@ -180,37 +204,38 @@
             try:
                 sockets.wait(waiting, None)
                 if self._stopping or self._redirect_to is not None:
-                    threading.Event().wait()  # the process ends in a moment, or another one takes them
-                with self._accepting:  # what is accepted here is known here, before clients are counted
+                    threading.Event().wait()  # the process is about to end, or another one accepts them
+                with self._accepting:  # an accepted connection is registered before clients are counted
                     if self._redirect_to is not None:
                         continue
                     self._accept()
             except BlockingIOError:
                 continue
             except OSError as fault:
-                self.log.say("accept", f"no connection could be taken: {fault}")
+                self.log.say("accept", f"cannot accept a connection: {fault}")
                 if fault.errno not in sockets.ACCEPT_RETRY_ERRORS:
-                    with (
-                        self._clients_changed
-                    ):  # descriptors are short: until one is free, or a moment has passed
+                    # Descriptors are short: wait until one is free, or for 0.1 s.
+                    with self._clients_changed:
                         self._clients_changed.wait(0.1)
 
     def _accept(self) -> None:
-        """Take the next connection of the backlog; `BlockingIOError` if there is none."""
+        """Accept the next connection. Raises `BlockingIOError` if none is waiting."""
         sock, _ = self.listener.accept()
         client = Client(sock, self.clock.now(), self._stages)
-        if not self._welcome(client):
-            self._leave(client)
+        if not self._start_serving(client):
+            self._close(client)
 
-    def _welcome(self, client: Client, data: bytes = b"", confirm: Callable[[], bool] | None = None) -> bool:
-        """Serve a connection, on which so much has come already; False if there is no thread for it."""
+    def _start_serving(
+        self, client: Client, data: bytes = b"", confirm: Callable[[], bool] | None = None
+    ) -> bool:
+        """Serve a connection on a new thread; False if there is no thread. `data` was read from it before."""
         with self._clients_changed:
             self._clients.add(client)
         try:
             self.start("client", lambda: self._serve(client, data, confirm))
-        except RuntimeError as fault:  # it is ended unread
-            client.why = "no thread"
-            self.log.say("accept", f"no thread for a connection: {fault}")
+        except RuntimeError as fault:  # nothing has been read from it
+            client.close_reason = "no thread"
+            self.log.say("accept", f"cannot start a thread for a connection: {fault}")
             return False
         return True
 
@@ -219,174 +244,194 @@
         sock: socket.socket,
         request: bytes,
         arrived: datetime | None,
-        asked: int,
+        requests_read: int,
         read_at: datetime | None = None,
         confirm: Callable[[], bool] | None = None,
     ) -> bool:
-        """Go on with a client of the process before this one; False if there is no thread for it.
+        """Continue with a client connection of the previous process; False if there is no thread for it.
 
-        `confirm` is called before anything of it is read, and tells the process before that it is served
-        here; where it gives False, the client is that process's still.
+        `request` has been read from it, its first byte at `arrived` and its last at `read_at`. `confirm` is
+        called before anything is read here. It tells the previous process that the connection is served here;
+        if it returns False, the connection still belongs to that process.
         """
         client = Client(sock, self.clock.now(), self._stages)
-        client.asked, client.shared, client.arrived, client.read_at = asked, True, arrived, read_at
-        if request:  # before anybody can take it for one that rests, and pass it on without its request
-            client.at(Stage.READING, client.since)
-        if self._welcome(client, request, confirm):
+        client.requests_read, client.shared_with_predecessor, client.arrived, client.read_at = (
+            requests_read,
+            True,
+            arrived,
+            read_at,
+        )
+        if request:  # set before any thread can see it as idle, and pass it on without its request
+            client.at(Stage.READING, client.stage_since)
+        if self._start_serving(client, request, confirm):
             return True
-        client.moved = True  # it is the other process's still
-        self._leave(client)
+        client.moved = True  # it still belongs to the other process
+        self._close(client)
         return False
 
-    def redirect(self, elsewhere: PassOn) -> None:
-        """Another process takes clients from now on. Called before anybody can be told so."""
+    def redirect(self, pass_on: PassOn) -> None:
+        """Pass clients to another process from now on. Called before any client can know of it."""
         with self._accepting, self._clients_changed:
-            self._redirect_to = elsewhere
+            self._redirect_to = pass_on
 
     def pass_on_idle(self) -> int:
-        """Pass on the idle clients, after `redirect`; the others go with the request they make. How many."""
+        """Pass on the idle clients, after `redirect`; how many.
+
+        The others are passed on with their request.
+        """
         with self._clients_changed:
             clients = list(self._clients)
-        given = 0
+        count = 0
         for client in clients:
             with client.lock:
                 if client.stage in (Stage.IDLE, Stage.SILENT):
-                    given += self._move(client)
-        return given
+                    count += self._move_connection(client)
+        return count
 
     def connection_count(self) -> int:
-        """Client connections that are served here."""
+        """How many client connections this process serves."""
         with self._clients_changed:
-            return sum(not client.passed for client in self._clients)
+            return sum(not client.passed_on for client in self._clients)
 
-    def _move(
+    def _move_connection(
         self,
         client: Client,
         request: bytes = b"",
         arrived: datetime | None = None,
         read_at: datetime | None = None,
     ) -> bool:
-        """Let another process go on with a connection, and with what it has asked; whether it does."""
-        if client.gone or client.moved or (client.ending and not request):
+        """Pass a connection, with the request read from it if any, to the other process.
+
+        Returns whether that has taken it.
+        """
+        if client.closing or client.moved or (client.ending and not request):
             return client.moved
         client.moved = True
-        passed = self._redirect_to is not None and self._redirect_to(
-            client.sock, request, arrived, client.asked, read_at
+        passed_on = self._redirect_to is not None and self._redirect_to(
+            client.sock, request, arrived, client.requests_read, read_at
         )
-        client.moved = passed
-        client.passed = passed  # only now: this process ends once all are
+        client.moved = passed_on
+        client.passed_on = passed_on  # set last: this process ends once it is true for all
         self.log.counters.add(
-            "client passed on" if passed else "client not passed on", "with a request" if request else "idle"
+            "client passed on" if passed_on else "client not passed on",
+            "with a request" if request else "idle",
         )
-        return passed
+        return passed_on
 
-    def _pass_on(
+    def _pass_on_request(
         self, client: Client, ref: str, request: bytes, arrived: datetime, read_at: datetime
     ) -> None:
-        """Have the other process answer a request that was read here; what it cannot take is refused."""
-        if self._move(client, request, arrived, read_at):
-            raise MovedError
+        """Pass on a request that was read here. Returns if the other process did not take it.
+
+        Raises `ConnectionMovedError` if it did.
+        """
+        if self._move_connection(client, request, arrived, read_at):
+            raise ConnectionMovedError
         self.log.say(
             "upgrade",
             f"connection {client.number}: the other process did not take {ref}, answered 503",
         )
 
-    def empty(self) -> None:
-        """While a drain lasts, end the connections that stay idle; until it is over or all are gone."""
-        while self.lifecycle.current.drained_at is not None:
+    def close_idle_while_draining(self) -> None:
+        """Shut down connections that stay idle during a drain. Returns when it is over or all are closed."""
+        while self.lifecycle.current.draining_since is not None:
             with self._clients_changed:
                 now, current = self.clock.now(), self.lifecycle.current
                 for client in self._clients:
-                    waits = client.stage in (Stage.IDLE, Stage.SILENT) and not client.ending
-                    # Who has just connected is about to ask: it has the time that a first request has.
-                    span = SILENT_DRAIN if client.stage is Stage.SILENT else ZERO
-                    if waits and current.ends_idle(client.since + span, now):
+                    idle = client.stage in (Stage.IDLE, Stage.SILENT) and not client.ending
+                    # A client that has just connected is about to send a request, and gets time for it.
+                    grace = DRAIN_FIRST_REQUEST_GRACE if client.stage is Stage.SILENT else ZERO
+                    if idle and current.closes_idle(client.stage_since + grace, now):
                         self._end(client, "drain")
-                if not self._clients and not current.takes_messages(now):
+                if not self._clients and not current.accepts_messages(now):
                     return
-                self._clients_changed.wait(seconds(DRAIN_LOOK))
+                self._clients_changed.wait(seconds(DRAIN_CHECK_INTERVAL))
 
     def _make_room(self) -> None:
-        """At the bound, end the connection least likely to be a usual client's, else wait until one ends.
+        """At the limit, end the connection that is least likely to be in use, or wait until one ends.
 
-        Hundreds that connect and say nothing must not keep out clients that do ask.
+        Hundreds of clients that connect and send nothing must not keep out those that send requests.
         """
         with self._clients_changed:
             while len(self._clients) >= self.max_clients:
                 if (client := self._stages.idlest(self.clock.now())) is not None:
                     self._end(client, "made room", cut=True)
-                    self.log.say("crowded", f"{self.max_clients} client connections: the idlest ends")
-                self._clients_changed.wait(seconds(SILENT_TIME) / 4)
+                    self.log.say(
+                        "crowded", f"{self.max_clients} client connections: ending the one idle for longest"
+                    )
+                self._clients_changed.wait(seconds(SILENT_TIMEOUT) / 4)
 
     def _serve(self, client: Client, data: bytes = b"", confirm: Callable[[], bool] | None = None) -> None:
         try:
-            # Not later: the process before answers 503 for what it has not been told to be served here.
+            # Before anything is read: the previous process answers 503 unless it is told that this one serves
+            # it.
             if confirm is not None and not confirm():
-                client.moved, client.why = True, "left to the process before"
+                client.moved, client.close_reason = True, "left to the process before"
                 return
             sockets.disable_nagle(client.sock)
             parser = http.Parser(answer=False)
             if data:
-                parser.slack = http.REWRITTEN_HEAD_SLACK_BYTES  # for the request that came with it
+                parser.slack = http.REWRITTEN_HEAD_SLACK_BYTES  # for the request that was passed on with it
                 parser.feed(data)
             while self._exchange(client, parser):
                 pass
-        except MovedError:
-            client.why = "passed on"
+        except ConnectionMovedError:
+            client.close_reason = "passed on"
         except OSError as fault:
-            client.why = f"broken: {errno.errorcode.get(fault.errno or 0, type(fault).__name__)}"
-        except Exception:  # a fault in reading one client must not end the sender
-            client.why = "error"
-            self.log.say("error", f"connection {client.number} was ended: {traceback.format_exc()}")
+            client.close_reason = f"broken: {errno.errorcode.get(fault.errno or 0, type(fault).__name__)}"
+        except Exception:  # an error on one connection must not end the sender
+            client.close_reason = "error"
+            self.log.say("error", f"closed connection {client.number}: {traceback.format_exc()}")
         finally:
-            self._leave(client)
+            self._close(client)
 
-    def _leave(self, client: Client) -> None:
-        """The one way in which a connection is closed."""
-        # Whoever passes idle clients on would hand over a closed descriptor, or the next connection's.
+    def _close(self, client: Client) -> None:
+        """Close a connection; every connection ends here."""
+        # Otherwise `pass_on_idle` could pass on a closed descriptor, or one that another connection reuses.
         with client.lock:
-            client.gone = True
-        self.log.counters.add("connection closed", client.why)
-        if client.told and not client.moved:
-            self._part(client)
-        if client.shared and not client.moved:  # closing alone does not end what another process has open
+            client.closing = True
+        self.log.counters.add("connection closed", client.close_reason)
+        if client.answered and not client.moved:
+            self._linger(client)
+        # Closing alone does not end a connection that another process has open, too.
+        if client.shared_with_predecessor and not client.moved:
             try:
                 client.sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # the client has ended it
-        with (
-            self._clients_changed
-        ):  # who ends connections looks at them under this lock: never at a closed one
+                pass  # the client has closed it
+        # Those that end connections go through them under this lock: they never see a closed one.
+        with self._clients_changed:
             self._clients.discard(client)
-            self._stages.leave(client)
+            self._stages.remove(client)
             client.sock.close()
             self._clients_changed.notify_all()
 
-    def _part(self, client: Client) -> None:
-        """End our sending side and read on a little: a close over unread bytes resets, and eats the answer.
+    def _linger(self, client: Client) -> None:
+        """Shut our sending side down and read for a short time before the close.
 
-        What is read here was not asked of this sender any more, and is never taken on.
+        Closing with unread bytes resets the connection, and the client may lose the last answer. What is read
+        here came after the last answer, and is never accepted.
         """
         client.at(Stage.LEAVING, self.clock.now())
-        ends, read = client.since + LINGER_TIME, 0
+        ends, read = client.stage_since + LINGER_TIMEOUT, 0
         try:
             client.sock.shutdown(socket.SHUT_WR)
-            while (left := ends - self.clock.now()) > ZERO and read < LINGER_MOST:
+            while (left := ends - self.clock.now()) > ZERO and read < MAX_LINGER_BYTES:
                 client.sock.settimeout(max(0.001, seconds(left)))
                 if not (data := client.sock.recv(http.READ_BYTES)):
                     break
                 read += len(data)
         except OSError:
-            pass  # it is gone, or says nothing
+            pass  # the client has closed, or sends nothing
 
     def _exchange(self, client: Client, parser: http.Parser) -> bool:
-        """One request and its answer; whether the connection goes on."""
+        """Read one request and answer it; whether the connection is kept."""
         try:
             found, arrived = self._read(client, parser)
         except http.BadMessageError as fault:
             self.log.say("bad", f"{fault}, answered {fault.status}")
-            # Framing is lost: this is the last answer.
-            client.why = "bad or slow request"
+            # It is unknown where the next request begins: this is the last answer.
+            client.close_reason = "bad or slow request"
             client.write(http.write_answer(fault.status, [("Connection", "close")], f"{fault}\n".encode()))
             return False
         if found is None:
@@ -395,58 +440,60 @@
         read_at, client.read_at = client.read_at or self.clock.now(), None
         try:
             reply = self._answer(head, body, arrived, read_at)
-            client.bad = 0
-            client.asked += 1
-        except MovedError:
+            client.bad_in_a_row = 0
+            client.requests_read += 1
+        except ConnectionMovedError:
             ref = head.headers.get("request-id", "its request")
-            self._pass_on(client, ref, rewrite_request(head, body, bytes(parser.buffer)), arrived, read_at)
-            reply = self._back_off(RETRY, "not passed on")  # and its last answer here
+            self._pass_on_request(
+                client, ref, rewrite_request(head, body, bytes(parser.buffer)), arrived, read_at
+            )
+            reply = self._reject(DEFAULT_RETRY_AFTER, "not passed on")  # the last answer on this connection
             client.ending = True
         except RefusedError as fault:
             self.log.say("bad", f"{fault}, answered {fault.status}")
             reply = Reply(fault.status, f"{fault}\n".encode())
-            client.bad += 1
-            client.asked += 1
-        except Exception as fault:  # a request must not go unanswered, nor end the sender
+            client.bad_in_a_row += 1
+            client.requests_read += 1
+        except Exception as fault:  # the request must be answered, and must not end the sender
             self.log.say(
                 "error",
-                f"connection {client.number}: a request was answered 500: "
+                f"connection {client.number}: answered 500: "
                 f"{type(fault).__name__}: {fault}: {traceback.format_exc()}",
             )
             reply = Reply(500)
-            client.asked += 1
-        # What has been read of a further request is owed its answer, too.
-        ends = (client.ending or self.lifecycle.current.last_answer()) and not parser.begun
+            client.requests_read += 1
+        # If part of a further request has been read, it is answered, too, before the connection is closed.
+        ends = (client.ending or self.lifecycle.current.closes_after_answer()) and not parser.begun
         last = [] if head.keeps_alive() and not ends else [("Connection", "close")]
         data = http.write_answer(reply.status, [*reply.headers, *last], reply.body)
         try:
             client.write(data[: -len(reply.body)] if head.method == "HEAD" and reply.body else data)
         except OSError as fault:
-            client.why = "gone before its answer"
+            client.close_reason = "gone before its answer"
             self.log.say(
                 "unanswered",
-                f"connection {client.number}: {reply.status} could not be written"
-                f"{f' for {reply.message}, withdrawn' if reply.message else ''}: {fault}",
+                f"connection {client.number}: cannot write the answer {reply.status}"
+                f"{f' for {reply.message}, which is withdrawn' if reply.message else ''}: {fault}",
             )
             if reply.message is not None:
                 self.decision_loop.post(Withdraw(reply.message, reply.pending))
             return False
-        if client.bad and not last:
-            # The same thing again as soon as it is turned away: it must not cost the others their share.
-            pause = min(BAD_PAUSE_MOST, BAD_PAUSE * 2 ** min(client.bad - 1, 10))
+        if client.bad_in_a_row and not last:
+            # A client that repeats a bad request at once must not take processor time from the others.
+            delay = min(MAX_BAD_REQUEST_DELAY, BAD_REQUEST_DELAY * 2 ** min(client.bad_in_a_row - 1, 10))
             client.at(Stage.LEAVING, self.clock.now())
-            self._pause.wait(seconds(pause))
+            self._never_set.wait(seconds(delay))
         if last:
-            client.why = "last answer"
+            client.close_reason = "last answer"
         return not last
 
     def _read(self, client: Client, parser: http.Parser) -> tuple[tuple[http.Head, bytes] | None, datetime]:
-        """The next request and when its first byte came; None at the connection's end."""
-        arrived, expected = client.arrived or self.clock.now(), False
-        first, client.arrived = not client.asked, None
+        """The next request, None at the connection's end, and when its first byte came."""
+        arrived, expect_seen = client.arrived or self.clock.now(), False
+        first, client.arrived = not client.requests_read, None
         with client.lock:
             if self._redirect_to is not None and not parser.begun:
-                self._move(client)
+                self._move_connection(client)
             if client.ending and not client.moved and not parser.begun:
                 return None, arrived
             client.at(Stage.READING if parser.begun else Stage.SILENT if first else Stage.IDLE, arrived)
@@ -455,22 +502,22 @@
                 if parser.begun:
                     raise http.BadMessageError(400, "the connection ended inside a request")
                 return None, arrived
-            if parser.head is not None and not expected and parser.head.headers.get("expect"):
-                expected = True
+            if parser.head is not None and not expect_seen and parser.head.headers.get("expect"):
+                expect_seen = True
                 if parser.head.headers["expect"].lower() != "100-continue":
                     raise http.BadMessageError(417, "unknown expectation")
                 client.write(http.write_answer(100))
-            # An answer or an end is due 3 s after connecting, whatever has come until then.
-            began, max_clients = (client.opened, REQUEST_TIME) if first else (arrived, IDLE_TIME)
-            ends = arrived + REQUEST_TIME if parser.begun and not first else began + max_clients
+            # Clients are promised an answer or a close within 3 s of connecting, whatever they send.
+            began, timeout = (client.opened, REQUEST_READ_TIMEOUT) if first else (arrived, IDLE_TIMEOUT)
+            ends = arrived + REQUEST_READ_TIMEOUT if parser.begun and not first else began + timeout
             if not client.moved and not client.readable(ends - self.clock.now()):
                 if parser.begun:
                     raise http.BadMessageError(408, "a request came too slowly")
-                client.why = "idle"
+                client.close_reason = "idle"
                 return None, arrived
-            with client.lock:  # what another process is to read must not be read here
+            with client.lock:  # bytes meant for another process must not be read here
                 if client.moved:
-                    raise MovedError
+                    raise ConnectionMovedError
                 if client.shut and parser.begun:
                     raise http.BadMessageError(503 if self._stopping else 408, "a request came too slowly")
                 if client.shut:
@@ -484,9 +531,9 @@
         return found, arrived
 
     def _answer(self, head: http.Head, body: bytes, arrived: datetime, read_at: datetime) -> Reply:
-        """The answer to a whole request, which was read whole at `read_at`."""
+        """The answer to a complete request, whose last byte was read at `read_at`."""
         if self._redirect_to is not None:
-            raise MovedError
+            raise ConnectionMovedError
         path = urlsplit(head.target).path
         routes = {"/api": ("POST",), "/health/ready": ("GET", "HEAD"), "/health/live": ("GET", "HEAD")}
         if path not in routes:
@@ -494,59 +541,63 @@
         if head.method not in routes[path]:
             return Reply(405, headers=[("Allow", ", ".join(routes[path]))])
         if path == "/api":
-            return self._hand_in(read_message(head, body, arrived, self._rules_now()), read_at)
-        up = path == "/health/live" or self.lifecycle.current.ready()
-        return Reply(200, b"ok\n") if up else Reply(503, b"not ready\n")
-
-    def _rules_now(self) -> Config:
-        """The configuration to read a message by."""
-        dropped, until = self._dropped
-        if not dropped or self.clock.now() >= until:
+            return self._hand_in(read_message(head, body, arrived, self._reading_config()), read_at)
+        healthy = path == "/health/live" or self.lifecycle.current.ready()
+        return Reply(200, b"ok\n") if healthy else Reply(503, b"not ready\n")
+
+    def _reading_config(self) -> Config:
+        """The configuration to read requests by: with the classes removed a moment ago."""
+        removed, until = self._removed_classes
+        if not removed or self.clock.now() >= until:
             return self.config
-        return msgspec.structs.replace(self.config, rules={**dropped, **self.config.rules})
+        return msgspec.structs.replace(self.config, rules={**removed, **self.config.rules})
 
     def _hand_in(self, message: AcceptedMessage, read_at: datetime) -> Reply:
-        """Its body into the store, itself into the owner's queue, and the verdict as HTTP has it."""
-        if not self.lifecycle.current.takes_messages(self.clock.now()):
-            self.log.say("drained", f"back-off answer to {message.ref}: this sender is being kept empty")
-            return self._back_off(RETRY, "drained")
-        # Counted from the last byte: a large body may have been on its way for longer than all this.
-        due = max(read_at + DECISION_TIMEOUT, self.clock.now() + PATIENCE_LEAST)
-        found = self._keep(message, due)
+        """Store the body, post the message to the decision loop, and return its verdict as an answer."""
+        if not self.lifecycle.current.accepts_messages(self.clock.now()):
+            self.log.say("drained", f"rejected {message.ref}: this sender is drained")
+            return self._reject(DEFAULT_RETRY_AFTER, "drained")
+        # Counted from the last byte: a large body alone may take longer than this to arrive.
+        due = max(read_at + DECISION_TIMEOUT, self.clock.now() + MIN_DECISION_TIMEOUT)
+        found = self._store_body(message, due)
         if isinstance(found, Admission):
             self.log.say(
                 "full",
-                f"back-off answer to {message.ref} for destination {message.destination}: " f"{found.reason}",
+                f"rejected {message.ref} for destination {message.destination}: {found.reason}",
             )
-            return self._back_off(RETRY, "no room for its body")
+            return self._reject(DEFAULT_RETRY_AFTER, "no room for its body")
         message, pending = found, PendingReply()
         self.decision_loop.post(HandIn(message, pending))
-        answer = pending.wait(due - self.clock.now(), CLAIMED_PATIENCE)
+        answer = pending.wait(due - self.clock.now(), CLAIMED_DECISION_TIMEOUT)
         if answer is not None and answer.verdict is Verdict.MOVED:
-            raise MovedError
+            raise ConnectionMovedError
         if answer is None and pending.claimed:
-            raise RuntimeError(f"{message.ref} was taken up and never decided")
+            raise RuntimeError(f"the decision loop picked up {message.ref} and did not answer")
         if answer is None:
-            self.log.say("late", f"{message.ref} was not taken up in time: back-off answer")
-            return self._back_off(RETRY, "not taken up in time")
+            self.log.say("late", f"rejected {message.ref}: the decision loop did not pick it up in time")
+            return self._reject(DEFAULT_RETRY_AFTER, "not taken up in time")
         if answer.verdict is Verdict.ACCEPTED:
             return Reply(202, message=message.ref, pending=pending)
         if answer.verdict is Verdict.CONFLICT:
             raise RefusedError(409, f"{message.ref} is the id of another message")
         if answer.verdict is Verdict.REJECTED:
-            return self._back_off(answer.retry, answer.reason)
+            return self._reject(answer.retry, answer.reason)
         return Reply(500, b"given up\n")
 
-    def _back_off(self, retry: timedelta, reason: str) -> Reply:
+    def _reject(self, retry_after: timedelta, reason: str) -> Reply:
+        """A 503 with the time after which the client may try again."""
         self.log.counters.add("request refused", reason)
-        return Reply(503, headers=[("Retry-After", f"{millis(retry) / 1000:.3f}")])
+        return Reply(503, headers=[("Retry-After", f"{millis(retry_after) / 1000:.3f}")])
 
-    def _keep(self, message: AcceptedMessage, due: datetime) -> AcceptedMessage | Admission:
-        """The message with its body where it stands until it is over, others making room if they must."""
+    def _store_body(self, message: AcceptedMessage, due: datetime) -> AcceptedMessage | Admission:
+        """Store the message's body; the message with the body's place, or why there is no room.
+
+        If necessary the decision loop first ends other messages to make room.
+        """
         found = self.bodies.keep(message, due - self.clock.now())
         if isinstance(found, Admission) and found.verdict is BodyVerdict.DROP_FIRST:
             pending: PendingReply[bool] = PendingReply()
             self.decision_loop.post(MakeRoom(msgspec.structs.replace(message, body=b""), found, pending))
-            if pending.wait(due - self.clock.now(), CLAIMED_PATIENCE):
+            if pending.wait(due - self.clock.now(), CLAIMED_DECISION_TIMEOUT):
                 found = self.bodies.keep(message, due - self.clock.now(), last=True)
         return found
--- a/willownotch/net/sockets.py
+++ b/willownotch/net/sockets.py
@@ -1,8 +1,8 @@
-"""Socket calls that outlast a failure of the moment.
+"""Socket calls that are repeated after a transient failure.
 
-The kernel may fail a call for want of memory, or report on one call what the next does not find (an
-unreachable route, a time-out of the path). Such a call is made again a few times: a connection that is really
-over says so in the next call, by its end or by a reset.
+The kernel may fail a call for want of memory, or report in one call an error that the next one no longer sees
+(an unreachable route, a time-out on the path). Such a call is repeated a few times. A connection that is
+really over shows it again in the next call, by its end or a reset.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from willownotch.net.counters import Counters
 
 T = TypeVar("T")
-TRIES = 4
+MAX_TRIES = 4
 RETRIES = Counters()  # of this process, by call and error
-RETRY_S = 0.002  # between tries, doubling
-# Without effect on the connection, or cleared by being reported once.
+RETRY_DELAY_S = 0.002  # before the first repetition; doubles
+# They leave the connection as it is, or are cleared by being reported once.
 TRANSIENT_ERRORS = frozenset(
     {
         errno.EINTR,
@@ -34,7 +34,7 @@
         errno.EPROTO,
     }
 )
-# Of this machine and not of the peer: nothing has left it.
+# Shortages on this machine, not of the peer: nothing was sent.
 LOCAL_SHORTAGES = frozenset(
     {
         errno.EMFILE,
@@ -46,35 +46,37 @@
         errno.EINTR,
     }
 )
-# Of one connection that came and went, or of the moment: the next one may be accepted at once.
+# Of one connection that is already gone, or transient: the next one can be accepted at once.
 ACCEPT_RETRY_ERRORS = TRANSIENT_ERRORS | {errno.ECONNABORTED}
 
 
 def retry_transient(call: str, make: Callable[[], T]) -> T:
-    """What a call gives, made again where it failed for a moment. `TimeoutError` without an `errno` is the
-    socket's own time-out, which is told at once."""
-    for attempt in range(TRIES):
+    """The result of `make`, repeated after transient errors; `call` names it in the counters.
+
+    A `TimeoutError` without an `errno` is the socket's own time-out, and is raised at once.
+    """
+    for attempt in range(MAX_TRIES):
         try:
             return make()
         except OSError as fault:
-            if fault.errno not in TRANSIENT_ERRORS or attempt + 1 == TRIES:
+            if fault.errno not in TRANSIENT_ERRORS or attempt + 1 == MAX_TRIES:
                 raise
-            _pause(call, fault, attempt)
+            _wait_before_retry(call, fault, attempt)
     raise AssertionError("unreachable")
 
 
 def receive(sock: socket.socket, size: int) -> bytes:
-    """As `recv`."""
+    """`recv`, repeated after transient errors."""
     return retry_transient("recv", lambda: sock.recv(size))
 
 
-def _pause(call: str, fault: OSError, attempt: int) -> None:
+def _wait_before_retry(call: str, fault: OSError, attempt: int) -> None:
     RETRIES.add(f"{call} again", errno.errorcode[fault.errno])
-    time.sleep(RETRY_S * 2**attempt)
+    time.sleep(RETRY_DELAY_S * 2**attempt)
 
 
 def send_all(sock: socket.socket, data: bytes) -> None:
-    """As `sendall`, each byte once: what was written before a failure is not written again."""
+    """`sendall`, continued after transient errors behind the last byte that was sent."""
     timeout = sock.gettimeout()
     ends = None if timeout is None else time.monotonic() + timeout
     view, failures = memoryview(data), 0
@@ -83,9 +85,9 @@
             view, failures = view[sock.send(view) :], 0
         except OSError as fault:
             failures += 1
-            if fault.errno not in TRANSIENT_ERRORS or failures == TRIES:
+            if fault.errno not in TRANSIENT_ERRORS or failures == MAX_TRIES:
                 raise
-            _pause("send", fault, failures - 1)
+            _wait_before_retry("send", fault, failures - 1)
         if view and ends is not None:
             left = ends - time.monotonic()
             if left <= 0:
@@ -94,14 +96,14 @@
 
 
 def wait(poll: select.poll, timeout_ms: int | None) -> list[tuple[int, int]]:
-    """As `poll.poll`."""
+    """`poll.poll`, repeated after transient errors."""
     found = retry_transient("poll", lambda: poll.poll(timeout_ms))
-    # Interrupted with no time left it gives nothing, whatever there is.
+    # A poll that is interrupted and has no time left returns nothing, even if something is ready.
     return found if found or timeout_ms != 0 else retry_transient("poll", lambda: poll.poll(0))
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    """Have small writes leave at once. A connection on which that cannot be set works all the same."""
+    """Have small writes sent at once. A connection that does not allow it is used without."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
