--- a/willownotch/net/http.py
+++ b/willownotch/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as bytes: a parser that is fed and a writer. It opens no socket and knows no message.
+"""An HTTP/1.1 parser and writer that work on bytes. They open no socket and know nothing of hand-ins.
 
-One `Parser` reads one side of one connection. It guards against what loses framing: a request whose length
-is missing, conflicting or too large is a `BadMessageError`, after which the connection must be closed.
+One `Parser` reads one direction of one connection. A request whose length is missing, conflicting or too
+large raises `BadMessageError`: where its body ends is then unknown, so the connection must be closed.
 """
 
 from __future__ import annotations
@@ -10,14 +10,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_HEAD_BYTES, MAX_BODY_BYTES, MAX_CHUNK_LINE_BYTES = (
-    16 * 1024,
-    64 * 1024,
-    1024,
-)  # bytes: a head, a body, a chunk-size line
-HEADERS_MOST = 100
-REWRITTEN_HEAD_SLACK_BYTES = 256  # what a head may grow by as it is written again: spaces, a host, a length
-READ_BYTES = 65536  # bytes asked of a socket at a time; at half of it, floods cost more rounds of parsing
+MAX_HEAD_BYTES, MAX_BODY_BYTES, MAX_CHUNK_LINE_BYTES = 16 * 1024, 64 * 1024, 1024
+MAX_HEADERS = 100
+# How much a head may grow when it is written again for another process: spaces, Host, Content-Length.
+REWRITTEN_HEAD_SLACK_BYTES = 256
+READ_BYTES = 65536  # asked of a socket at once; half as much costs more rounds of parsing under load
 REASONS = {
     100: "Continue",
     200: "OK",
@@ -40,13 +37,14 @@
 }
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/(\d)\.(\d)\Z")
-# No second status line in its text: part of one may have come before the call, and garbles what comes after.
+# The reason phrase must not hold a second status line: part of one may have come before the call was made,
+# and the line of the real answer is then appended to it.
 STATUS_LINE = re.compile(rb"HTTP/1\.(\d) (\d{3})(?: (?![^\r\n]*HTTP/1\.)[^\r\n]*)?\Z")
-BAD_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+INVALID_VALUE_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
 class BadMessageError(ValueError):
-    """What came is no HTTP that is taken here. `status` is the answer that it deserves."""
+    """The input is not HTTP as this parser accepts it. `status` is the status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -55,7 +53,7 @@
 
 @dataclass(slots=True)
 class Head:
-    """First line and headers. A request has `method` and `target`, an answer has `status`."""
+    """A first line and the headers. A request has `method` and `target`, an answer has `status`."""
 
     minor: int
     method: str = ""
@@ -64,13 +62,13 @@
     headers: dict[str, str] = field(default_factory=dict)
 
     def keeps_alive(self) -> bool:
-        """Whether the connection may carry another exchange."""
+        """Whether the connection may be used for another exchange."""
         options = [part.strip().lower() for part in self.headers.get("connection", "").split(",")]
         return "close" not in options if self.minor >= 1 else "keep-alive" in options
 
 
 def read_first_line(line: bytes, answer: bool) -> Head:
-    """The request line or the status line."""
+    """Parse a request line, or a status line if `answer`."""
     if answer:
         found = STATUS_LINE.match(line)
         if not found:
@@ -85,19 +83,19 @@
 
 
 def read_headers(
-    head: Head, lines: Iterable[bytes], optional: tuple[bytes, ...] = (), most: int = HEADERS_MOST
+    head: Head, lines: Iterable[bytes], optional: tuple[bytes, ...] = (), max_headers: int = MAX_HEADERS
 ) -> None:
-    """The header lines into the head. A list given twice is joined; a length given twice must agree.
+    """Parse header lines into `head`. Repeated headers are joined by commas; repeated lengths must agree.
 
-    An optional one is left out where its value cannot be read: it spoils no message that is good without it.
+    A header named in `optional` is skipped if its value is invalid: the message is usable without it.
     """
     for count, line in enumerate(lines):
         name, colon, value = line.partition(b":")
-        if name.lower() in optional and BAD_VALUE.search(value):
+        if name.lower() in optional and INVALID_VALUE_BYTES.search(value):
             continue
-        if not colon or not TOKEN.match(name) or BAD_VALUE.search(value):
+        if not colon or not TOKEN.match(name) or INVALID_VALUE_BYTES.search(value):
             raise BadMessageError(400, "malformed header line")
-        if count >= most:
+        if count >= max_headers:
             raise BadMessageError(431, "too many headers")
         key, text = name.decode().lower(), value.strip(b" \t").decode("latin-1")
         known = head.headers.get(key)
@@ -109,27 +107,27 @@
             head.headers[key] = f"{known}, {text}"
 
 
-class Chunks:
-    """Decodes a chunked body as it comes; `done` once the last chunk and its trailers are in."""
+class ChunkedDecoder:
+    """Decodes a chunked body as it arrives; `done` after the last chunk and its trailers."""
 
     def __init__(self) -> None:
         self.done = False
-        self._left = 0  # of the current chunk
-        self._after = False  # the line end behind a chunk is still to come
-        self._trailers = False
+        self._remaining = 0  # bytes of the current chunk
+        self._line_end_due = False  # the line end behind a chunk is still to come
+        self._in_trailers = False
         self._trailer_bytes = 0
 
     def feed(self, buffer: bytearray) -> bytes:
-        """Take what can be decoded off the front of the buffer."""
+        """Decode from the front of `buffer`, remove what was used, and return the decoded bytes."""
         out = bytearray()
         while not self.done:
-            if self._left:
-                part = buffer[: self._left]
-                del buffer[: self._left]
+            if self._remaining:
+                part = buffer[: self._remaining]
+                del buffer[: self._remaining]
                 out += part
-                self._left -= len(part)
-                self._after = not self._left
-                if self._left:
+                self._remaining -= len(part)
+                self._line_end_due = not self._remaining
+                if self._remaining:
                     break
                 continue
             end = buffer.find(b"\r\n")
@@ -139,15 +137,15 @@
                 break
             line = bytes(buffer[:end])
             del buffer[: end + 2]
-            self._line(line)
+            self._read_line(line)
         return bytes(out)
 
-    def _line(self, line: bytes) -> None:
-        if self._after:
+    def _read_line(self, line: bytes) -> None:
+        if self._line_end_due:
             if line:
                 raise BadMessageError(400, "a chunk is longer than it said")
-            self._after = False
-        elif self._trailers:
+            self._line_end_due = False
+        elif self._in_trailers:
             self._trailer_bytes += len(line) + 2
             if self._trailer_bytes > MAX_HEAD_BYTES:
                 raise BadMessageError(431, "trailers too large")
@@ -156,54 +154,60 @@
             size = line.split(b";", 1)[0].strip(b" \t")
             if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size):
                 raise BadMessageError(400, "malformed chunk size")
-            self._left = int(size, 16)
-            self._trailers = self._left == 0
+            self._remaining = int(size, 16)
+            self._in_trailers = self._remaining == 0
 
 
 class Parser:
-    """Reads requests, or answers, off one connection, one after the other.
+    """Parses the requests, or with `answer` the answers, of one connection, one after the other.
 
-    `feed` takes bytes; `next` gives a (head, body) once one is whole. `head` is set as soon as a head is in
-    and `begun` while a message is partly in. A `stream` gives an answer's body out by `body_part` instead.
+    `feed` takes bytes; `next` returns (head, body) when a message is complete. `head` is set as soon as a
+    head is complete, and `begun` is true while part of a message is in. With `stream`, `body_part` returns an
+    answer's body as it arrives, and `next` returns nothing.
     """
 
     def __init__(
         self,
         answer: bool,
-        body_most: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_BODY_BYTES,
         stream: bool = False,
         optional: tuple[bytes, ...] = (),
     ) -> None:
-        self.answer, self.body_most, self.stream, self.optional = answer, body_most, stream, optional
-        self.slack = 0  # bytes and lines of a head that another process's writer may have added
+        self.answer, self.max_body_bytes, self.stream, self.optional = (
+            answer,
+            max_body_bytes,
+            stream,
+            optional,
+        )
+        self.slack = 0  # extra bytes and lines allowed in a head that another process has rewritten
         self.buffer = bytearray()
         self.eof = False
         self._reset()
 
     def _reset(self) -> None:
         self.head: Head | None = None
-        self.status = 0  # of an answer, known from its first line on
+        self.status = 0  # of an answer, set once its first line is in
         self._body = bytearray()
-        self._left: int | None = None  # bytes of a body of known length; None: until the connection ends
-        self._chunks: Chunks | None = None
-        self._searched = 0
+        self._remaining: int | None = None  # bytes of the body; None: until the connection ends
+        self._chunks: ChunkedDecoder | None = None
+        self._searched_to = 0
 
     @property
     def begun(self) -> bool:
-        """Whether part of a message is in."""
+        """Whether part of a message is in, but not all of it."""
         return self.head is not None or bool(self.buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes off the connection; none at all is its end."""
+        """Add bytes from the connection; empty `data` is its end."""
         self.buffer += data
         self.eof = self.eof or not data
 
     def next(self) -> tuple[Head, bytes] | None:
-        """The next whole message, if it is in."""
+        """The head and body of the next message if it is complete, else None."""
         if not self.read_head() or self.stream:
             return None
         self._body += self.body_part()
-        if len(self._body) > self.body_most:
+        if len(self._body) > self.max_body_bytes:
             raise BadMessageError(413, "body too large")
         if not self.body_done():
             return None
@@ -212,82 +216,84 @@
         return head, body
 
     def read_head(self) -> bool:
-        """Whether a head is in, read now if it has become whole; an answer's 1xx heads are passed over."""
+        """Parse the head if it is complete; whether there is one. The 1xx heads of an answer are skipped."""
         while self.head is None:
             if self.answer and not self.status:
-                self._early_status()
+                self._read_early_status()
             while not self.answer and self.buffer.startswith(b"\r\n"):
-                del self.buffer[:2]  # an empty line before a request is passed over, however it was cut
-                self._searched = 0
-            end = self.buffer.find(b"\r\n\r\n", max(0, self._searched - 3))
+                # An empty line before a request is skipped, also if it came in two reads.
+                del self.buffer[:2]
+                self._searched_to = 0
+            end = self.buffer.find(b"\r\n\r\n", max(0, self._searched_to - 3))
             if max(end, len(self.buffer) if end < 0 else 0) > MAX_HEAD_BYTES + self.slack:
                 raise BadMessageError(431, "head too large")
             if end < 0:
-                self._searched = len(self.buffer)
+                self._searched_to = len(self.buffer)
                 return False
             lines = bytes(self.buffer[:end]).split(b"\r\n")
             del self.buffer[: end + 4]
             head = read_first_line(lines[0], self.answer)
-            read_headers(head, lines[1:], self.optional, HEADERS_MOST + self.slack)
+            read_headers(head, lines[1:], self.optional, MAX_HEADERS + self.slack)
             if self.answer and 100 <= head.status < 200:
                 self._reset()
                 continue
-            self._framing(head)
+            self._set_framing(head)
             self.head = head
         return True
 
-    def _early_status(self) -> None:
+    def _read_early_status(self) -> None:
+        """Set `status` as soon as the first line is complete: it may be all that arrives of an answer."""
         end = self.buffer.find(b"\r\n")
         if end >= 0:
             self.status = read_first_line(bytes(self.buffer[:end]), True).status
 
-    def _framing(self, head: Head) -> None:
-        """How long the body is. Two ways to say it are refused: they are how requests are smuggled."""
+    def _set_framing(self, head: Head) -> None:
+        """Determine where the body ends. Two lengths at once are refused: they allow request smuggling."""
         coding, length = head.headers.get("transfer-encoding"), head.headers.get("content-length")
         if coding is not None:
             if coding.strip().lower() != "chunked":
                 raise BadMessageError(501, "unknown transfer coding")
             if length is not None:
                 raise BadMessageError(400, "both a length and a transfer coding")
-            self._chunks = Chunks()
+            self._chunks = ChunkedDecoder()
         elif length is not None:
             if not re.fullmatch(r"[0-9]{1,12}", length):
                 raise BadMessageError(400, "malformed content-length")
-            self._left = int(length)
-            if self._left > self.body_most:
+            self._remaining = int(length)
+            if self._remaining > self.max_body_bytes:
                 raise BadMessageError(413, "body too large")
         elif not self.answer:
             if head.method in ("POST", "PUT", "PATCH"):
                 raise BadMessageError(411, "a length is needed")
-            self._left = 0
+            self._remaining = 0
         if self.answer and (head.status in (204, 304)):
-            self._left, self._chunks = 0, None
+            self._remaining, self._chunks = 0, None
 
     def body_part(self) -> bytes:
-        """What is in of the body and was not given out before."""
+        """The bytes of the body that have arrived since the last call."""
         if self._chunks is not None:
             return self._chunks.feed(self.buffer)
-        count = len(self.buffer) if self._left is None else min(self._left, len(self.buffer))
+        count = len(self.buffer) if self._remaining is None else min(self._remaining, len(self.buffer))
         part = bytes(self.buffer[:count])
         del self.buffer[:count]
-        if self._left is not None:
-            self._left -= count
+        if self._remaining is not None:
+            self._remaining -= count
         return part
 
     def body_done(self) -> bool:
-        """Whether the body is whole."""
+        """Whether the body is complete."""
         if self._chunks is not None:
             return self._chunks.done
-        return self.eof if self._left is None else self._left == 0
+        return self.eof if self._remaining is None else self._remaining == 0
 
     def until_close(self) -> bool:
-        """Whether the body ends only with the connection."""
-        return self._chunks is None and self._left is None
+        """Whether the body's end is the end of the connection."""
+        return self._chunks is None and self._remaining is None
 
 
-def write_head(first: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    """A first line and headers; what would break out of its line is refused."""
-    lines = [first, *(f"{name}: {value}" for name, value in headers)]
+def write_head(first_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
+    """Encode a first line and headers. Raises `ValueError` if one of them holds a line end."""
+    lines = [first_line, *(f"{name}: {value}" for name, value in headers)]
     text = "\r\n".join(lines)
     if text.count("\r\n") != len(lines) - 1 or "\n" in text.replace("\r\n", ""):
         raise ValueError("a line end inside a header")
@@ -297,12 +303,12 @@
 def write_request(
     method: str, target: str, host: str, headers: Iterable[tuple[str, str]], body: bytes | None = None
 ) -> bytes:
-    """A whole request."""
+    """Encode a request."""
     length = () if body is None else (("Content-Length", str(len(body))),)
     return write_head(f"{method} {target} HTTP/1.1", [("Host", host), *headers, *length]) + (body or b"")
 
 
 def write_answer(status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"") -> bytes:
-    """A whole answer."""
+    """Encode an answer."""
     length = [] if status in (100, 204) else [("Content-Length", str(len(body)))]
     return write_head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", [*headers, *length]) + body
