--- a/willownotch/startup.py
+++ b/willownotch/startup.py
@@ -1,8 +1,8 @@
-"""Steps of the start that may fail for a moment, tried again until they succeed or it is the operator's turn.
+"""Retries steps of the start that may fail temporarily.
 
-An address that is still in use, a descriptor or some memory too few, a disk that does not answer: each
-passes by itself, and a process that ended for it would only be started again. What an operator has to change
-ends the start at once.
+An address still in use, too few descriptors, too little memory, a disk that does not respond: each of these
+passes by itself, and a process that ended because of it would only be started again. An error that an
+operator has to correct ends the start at once.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from willownotch.net.log import Log
 
 T = TypeVar("T")
-PATIENCE = timedelta(seconds=6)  # of the 10 s that a restarted process has until it is ready
-PAUSE, PAUSE_MOST = timedelta(milliseconds=20), timedelta(milliseconds=300)  # between tries, doubling
-TELL_EACH_S = 1.0  # between two lines on one step
-PASSING = frozenset(
+RETRY_TIMEOUT = timedelta(seconds=6)  # of the 10 s in which a restarted process has to be ready
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = timedelta(milliseconds=20), timedelta(milliseconds=300)  # doubles
+LOG_INTERVAL_S = 1.0  # between two log lines about one step
+TEMPORARY_ERRORS = frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -48,28 +48,31 @@
 
 
 class Startup:
-    """Tries steps. `stopped` says whether the process was told to end meanwhile."""
+    """Runs steps of the start. `stopped` tells whether the process was asked to end in the meantime."""
 
     def __init__(self, log: Log, stopped: Callable[[], bool]) -> None:
         self.log, self.stopped = log, stopped
 
-    def attempt(self, what: str, step: Callable[[], T], patience: timedelta | None = PATIENCE) -> T:
-        """The step's result. The last `OSError` once `patience` is over; None: it is tried for good.
+    def attempt(self, what: str, step: Callable[[], T], timeout: timedelta | None = RETRY_TIMEOUT) -> T:
+        """The result of `step`, repeated while it fails temporarily. `what` names it in the log.
 
-        `InterruptedError` if the process is to end.
+        Raises the last `OSError` after `timeout` (None: never), and at once an error that does not pass by
+        itself. Raises `InterruptedError` if the process is to end.
         """
-        began, pause, told = time.monotonic(), seconds(PAUSE), 0.0
+        began, delay, logged_s = time.monotonic(), seconds(MIN_RETRY_DELAY), 0.0
         while True:
             try:
                 return step()
             except OSError as fault:
                 waited = time.monotonic() - began
-                if fault.errno not in PASSING or (patience is not None and waited >= seconds(patience)):
+                if fault.errno not in TEMPORARY_ERRORS or (
+                    timeout is not None and waited >= seconds(timeout)
+                ):
                     raise
-                if time.monotonic() - told >= TELL_EACH_S:
-                    told = time.monotonic()
+                if time.monotonic() - logged_s >= LOG_INTERVAL_S:
+                    logged_s = time.monotonic()
                     self.log.say("starting", f"waits for {what}: {fault}")
             if self.stopped():
                 raise InterruptedError
-            time.sleep(pause)
-            pause = min(seconds(PAUSE_MOST), 2 * pause)
+            time.sleep(delay)
+            delay = min(seconds(MAX_RETRY_DELAY), 2 * delay)
