--- a/willownotch/net/clock.py
+++ b/willownotch/net/clock.py
@@ -1,4 +1,4 @@
-"""Wall-clock times that never run backwards, and the one place where they become the module's seconds."""
+"""Wall-clock times that never run backwards, and their conversion to the decision module's seconds."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 
 
 class Clock:
-    """Reads the wall clock once and the monotonic one from then on, so that a set clock moves nothing."""
+    """Reads the wall clock once and counts on the monotonic clock from there.
+
+    Setting the wall clock changes no time that it gives.
+    """
 
     def __init__(self) -> None:
         self._began = datetime.now(UTC)
-        self._monotonic = time.monotonic()
+        self._monotonic_s = time.monotonic()
 
     def origin(self) -> tuple[datetime, float]:
-        """What its times stand on; the monotonic clock is the same for all processes of a machine."""
-        return self._began, self._monotonic
+        """A time and the monotonic clock's seconds at it; all processes of a machine share that clock."""
+        return self._began, self._monotonic_s
 
     def adopt(self, origin: tuple[datetime, float]) -> None:
-        """Count as another process did, whose times go on here."""
-        self._began, self._monotonic = origin
+        """Count from another process's `origin`, so that both give the same times."""
+        self._began, self._monotonic_s = origin
 
     def now(self) -> datetime:
-        """The present time."""
-        return self._began + timedelta(seconds=time.monotonic() - self._monotonic)
+        """The current time, in UTC."""
+        return self._began + timedelta(seconds=time.monotonic() - self._monotonic_s)
 
     def module_s(self, when: datetime) -> float:
-        """A time as the decision module counts it: seconds since this clock was made."""
+        """A time as the decision module counts it: seconds since this clock's origin."""
         return (when - self._began).total_seconds()
 
 
 def seconds(span: timedelta) -> float:
-    """A span in the module's (and the socket calls') float seconds."""
+    """A duration in seconds, as the decision module and socket calls take it."""
     return span.total_seconds()
 
 
 def span(of_seconds: float) -> timedelta:
-    """The module's float seconds as a span."""
+    """A duration given in seconds."""
     return timedelta(seconds=of_seconds)
 
 
 def millis(of_span: timedelta) -> int:
-    """A span in whole milliseconds, as headers carry it; never below zero."""
+    """A duration in whole milliseconds, as headers carry it; never below zero."""
     return max(0, of_span // timedelta(milliseconds=1))
--- a/willownotch/net/counters.py
+++ b/willownotch/net/counters.py
@@ -1,22 +1,22 @@
-"""Counts of what happened, by event and reason. The log is limited in lines a second; these are not."""
+"""Counters of events by reason. Log lines are limited per second; these count every event."""
 
 from __future__ import annotations
 
 import threading
 from collections import Counter
 
-SHOWN = 40  # counters in the one-line summary, the largest first
+MAX_IN_SUMMARY = 40  # counters in the one-line summary, the largest first
 
 
 class Counters:
-    """Counters by event and reason since the start of the process. Any thread may add and read."""
+    """Counters by event and reason since the process started. Any thread may add and read."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._counts: Counter[tuple[str, str]] = Counter()
 
     def add(self, event: str, reason: str, count: int = 1) -> None:
-        """Count an event."""
+        """Add `count` to the counter of an event and a reason."""
         with self._lock:
             self._counts[event, reason] += count
 
@@ -24,14 +24,14 @@
         """All counts, by event and then by reason, both sorted."""
         with self._lock:
             counts = sorted(self._counts.items())
-        found: dict[str, dict[str, int]] = {}
+        by_event: dict[str, dict[str, int]] = {}
         for (event, reason), count in counts:
-            found.setdefault(event, {})[reason] = count
-        return found
+            by_event.setdefault(event, {})[reason] = count
+        return by_event
 
     def summary(self) -> str:
-        """One line: `event (reason) count`, separated by commas; `nothing was counted` for none."""
+        """One line: `event (reason) count`, separated by commas, or `nothing was counted`."""
         with self._lock:
-            counts = self._counts.most_common(SHOWN)
+            counts = self._counts.most_common(MAX_IN_SUMMARY)
         texts = [f"{event} ({reason}) {count}" for (event, reason), count in counts]
         return ", ".join(texts) or "nothing was counted"
--- a/willownotch/net/listening.py
+++ b/willownotch/net/listening.py
@@ -1,4 +1,4 @@
-"""A listening TCP socket."""
+"""Opens a listening TCP socket."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
-    """One that never blocks, and can go from process to process; `OSError` for a bad address."""
+    """A non-blocking listener that can be passed to another process. Raises `OSError` for a bad address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # Connections inherit it. Without it those that linger keep the next process off the address.
+        # Accepted connections inherit it. Without it, those still closing keep the next process off the
+        # address.
         sockets.retry_transient(
             "setsockopt", lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         )
--- a/willownotch/net/timebase.py
+++ b/willownotch/net/timebase.py
@@ -1,9 +1,9 @@
-"""The times of one process as the next one reads them, whatever was done to the wall clock in between.
+"""Keeps the clock's origin in the state folder, so that the next process counts the same times.
 
 Journal records hold dates. A process counts them on the monotonic clock from one reading of the wall clock,
-its origin. The origin stands in a file of the folder that lasts, with the id of the boot: a later process of
-the same boot goes on from it, and a step of the wall clock between the two changes no span. Over a reboot, or
-where the two cannot belong together, the wall clock is read anew.
+its origin. The origin is kept in a file with the id of the boot: a later process of the same boot continues
+from it, so a step of the wall clock between the two changes no duration. After a reboot, or where the file
+does not fit the running clock, the wall clock is read again.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 NAME = "clock"
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-STEP_TOLD = timedelta(seconds=1)  # a difference to the wall clock that is worth a line
-WRITE_AGAIN = timedelta(seconds=1)
+MIN_LOGGED_STEP = timedelta(seconds=1)  # a smaller difference to the wall clock is not logged
+WRITE_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """A time, and what the monotonic clock of a boot said then, in seconds."""
+    """A time, and the monotonic clock's seconds at that time in the boot with this id."""
 
     boot: str
     time: datetime
@@ -36,7 +36,7 @@
 
 
 def read_boot_id() -> str:
-    """The kernel's name for this boot; empty where it has none, and then nothing is carried on."""
+    """The kernel's id of this boot; empty if there is none, and then no origin is continued."""
     try:
         return BOOT_ID.read_text(encoding="ascii").strip()
     except (OSError, ValueError):
@@ -44,8 +44,10 @@
 
 
 def read_origin(files: Files, folder: Path) -> Origin | None:
-    """What the process before wrote; None if it wrote nothing that can be used. `OSError` if that is not
-    known."""
+    """The origin that the previous process wrote; None if there is none that can be used.
+
+    Raises `OSError` if the file cannot be read.
+    """
     try:
         return msgspec.json.decode(files.read_whole(folder / NAME), type=Origin)
     except FileNotFoundError:
@@ -55,24 +57,24 @@
 
 
 def continues(origin: Origin | None, boot: str, monotonic_s: float) -> bool:
-    """Whether times may be counted on from there: in the same boot, whose clock has gone on since."""
+    """Whether times may be counted from `origin`: it is of this boot, and not ahead of its clock."""
     return origin is not None and bool(boot) and origin.boot == boot and origin.monotonic_s <= monotonic_s
 
 
 def restore_early(clock: Clock, folder: Path, files: Files) -> None:
-    """The same as `restore` where the origin can be read at once, before anything has counted by the clock.
+    """`restore` before anything has used the clock, if the origin can be read at once.
 
-    The folder may be another process's still: its origin is the same for all processes of a boot.
+    Another process may still hold the folder: its origin is the same for all processes of a boot.
     """
     try:
         found = read_origin(files, folder)
     except OSError:
-        return  # `restore` tries it again
-    _go_on(clock, found)
+        return  # `restore` reads it again
+    _continue_from(clock, found)
 
 
-def _go_on(clock: Clock, origin: Origin | None) -> bool:
-    """Have a clock go on from there if it may; whether it does."""
+def _continue_from(clock: Clock, origin: Origin | None) -> bool:
+    """Have the clock count from `origin` if that is valid; whether it is."""
     if not continues(origin, read_boot_id(), time.monotonic()):
         return False
     clock.adopt((origin.time, origin.monotonic_s))
@@ -80,28 +82,27 @@
 
 
 def restore(clock: Clock, folder: Path, files: Files, log: Log) -> Callable[[], None] | None:
-    """Have a clock go on from the origin in the folder, or else put its own there.
+    """Have the clock count from the origin in the folder, or else write the clock's own origin there.
 
-    What has still to be done where the file could not be written, for a thread; `OSError` if it could not be
-    read.
+    Returns work for a thread if the origin could not be written. Raises `OSError` if it could not be read.
     """
     found = read_origin(files, folder)
-    if _go_on(clock, found):
+    if _continue_from(clock, found):
         step = datetime.now(UTC) - clock.now()
-        if abs(step) >= STEP_TOLD:
+        if abs(step) >= MIN_LOGGED_STEP:
             log.say(
                 "clock",
                 f"the wall clock was stepped by {seconds(step):+.0f} s since the first process "
-                "of this boot: times go on by the monotonic clock",
+                "of this boot: times continue on the monotonic clock",
             )
         return None
     if found is not None:
-        log.say("clock", "another boot than the process before: times go on by the wall clock")
+        log.say("clock", "the machine has rebooted since the last process: times continue on the wall clock")
     return keep(clock, folder, files, log)
 
 
 def keep(clock: Clock, folder: Path, files: Files, log: Log) -> Callable[[], None] | None:
-    """Put a clock's origin into the folder. What has still to be done if that failed, for a thread."""
+    """Write the clock's origin into the folder. Returns work for a thread if that failed: it tries again."""
     began, monotonic_s = clock.origin()
     data = msgspec.json.encode(Origin(read_boot_id(), began, monotonic_s))
 
@@ -109,13 +110,13 @@
         try:
             replace_file(files, folder / NAME, data)
         except OSError as fault:
-            log.say("clock", f"the origin of times could not be written, tried again: {fault}")
+            log.say("clock", f"cannot write the clock's origin, will retry: {fault}")
             return False
         return True
 
     def write_later() -> None:
-        pause = threading.Event()  # never set: a wait of a moment
+        pause = threading.Event()  # never set: used to sleep
         while not write():
-            pause.wait(seconds(WRITE_AGAIN))
+            pause.wait(seconds(WRITE_RETRY_DELAY))
 
     return None if write() else write_later
