--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -1,7 +1,6 @@
-"""The sender put together, and the way into the command line.
+"""Builds and runs the sender; the entry point of the command line.
 
-Without any argument the sender is served, and nothing of the command line's library is loaded: `commands` has
-the sub-commands.
+Without arguments it serves, and does not load the command-line library. The sub-commands are in `commands`.
 """
 
 from __future__ import annotations
@@ -56,39 +55,40 @@
     from willownotch.controlplane.sender import Following
     from willownotch.mesh import Mesh
 
-THREAD_TRIES, THREAD_PAUSE_S = 3, 0.01
-THREAD_STACK_BYTES = 256 * 1024  # bytes for each thread: nothing here recurses
-STOP_AFTER = timedelta(seconds=5)  # from SIGTERM to an end of its own, where no SIGKILL has come
-# From SIGTERM, and for what is being read then: SIGKILL may come `KILL_AFTER` on, and what has been read by
-# then is to have its answer, which takes `client_side.PATIENCE` at the most.
+MAX_THREAD_TRIES, THREAD_RETRY_DELAY_S = 3, 0.01
+THREAD_STACK_BYTES = 256 * 1024  # enough, since nothing here recurses
+STOP_TIMEOUT = timedelta(seconds=5)  # from SIGTERM to the process's own end, if no SIGKILL comes
+# From SIGTERM until clients are closed, and then for requests that are still being read. SIGKILL may come
+# after `KILL_AFTER`, and by then each request that was read must be answered, which takes up to
+# `client_side.DECISION_TIMEOUT`.
 CLIENT_STOP_DELAY, CLIENT_STOP_GRACE = KILL_AFTER - timedelta(milliseconds=700), timedelta(milliseconds=300)
-LAST_RELAYS = timedelta(seconds=20)  # to finish what runs, at the end
-MEGABYTE = 1_000_000
-CLOCK_BYTES = 2 * 4096  # of the folder's limit: the origin of times, and a new one beside it
+RELAY_STOP_TIMEOUT = timedelta(seconds=20)  # for calls in progress, at the end
+BYTES_PER_MB = 1_000_000
+CLOCK_FILES_BYTES = 2 * 4096  # of the folder's limit: the clock's origin, and a new file that replaces it
 SETTINGS_VARIABLE, COMPLETE_VARIABLE = "WILLOWNOTCH_SETTINGS", "_WILLOWNOTCH_COMPLETE"
-EXIT_FAULTY, DEAD = 2, 70  # exit codes: bad configuration or command line; a thread has died
+EXIT_FAULTY, EXIT_THREAD_DIED = 2, 70  # exit codes
 
 
 class Threads:
-    """Starts threads. One that dies takes the process with it: half a sender is worse than none."""
+    """Starts threads. If one dies the process exits, since a sender without it would only look alive."""
 
     def __init__(self, log: Log, process: str = "sender") -> None:
         self.log, self.process = log, process
 
     def start(self, name: str, work: Callable[[], None], forever: bool = False) -> None:
-        """Run `work` on a thread; with `forever` even its return counts as a death."""
-        for attempt in range(THREAD_TRIES):
+        """Run `work` on a thread. With `forever` the process exits also if `work` returns."""
+        for attempt in range(MAX_THREAD_TRIES):
             try:
                 threading.Thread(
-                    target=self._guard, args=(name, work, forever), name=name, daemon=True
+                    target=self._run_or_exit, args=(name, work, forever), name=name, daemon=True
                 ).start()
                 return
-            except RuntimeError:  # the machine has no thread to give for the moment
-                if attempt + 1 == THREAD_TRIES:
+            except RuntimeError:  # the system cannot start another thread now
+                if attempt + 1 == MAX_THREAD_TRIES:
                     raise
-                time.sleep(THREAD_PAUSE_S)
+                time.sleep(THREAD_RETRY_DELAY_S)
 
-    def _guard(self, name: str, work: Callable[[], None], forever: bool) -> None:
+    def _run_or_exit(self, name: str, work: Callable[[], None], forever: bool) -> None:
         try:
             work()
             if not forever:
@@ -97,12 +97,14 @@
         except BaseException:
             why = traceback.format_exc()
         self.log.say("dead", f"thread {name} has died, so the {self.process} ends: {why}")
-        os._exit(DEAD)
+        os._exit(EXIT_THREAD_DIED)
 
 
-class Reloads:
-    """The configuration that holds now, and what takes its place, whole or not at all: the file on SIGHUP, a
-    revision of the fleet's that lies over it. Any thread may call."""
+class ConfigReloader:
+    """Replaces the configuration, completely or not at all: by the file on SIGHUP, or by a fleet revision.
+
+    A revision is laid over the file's content. Any thread may call.
+    """
 
     def __init__(
         self,
@@ -117,50 +119,52 @@
         self.apply_settings, self.overlay = apply_settings, overlay
         self._lock = threading.Lock()
 
-    def read_file(self) -> None:
-        """Take the file as it is now; one that is not sound changes nothing."""
+    def reload_file(self) -> None:
+        """Read the file again. An invalid file changes nothing."""
         with self._lock:
             try:
-                self._take(configs.load(self.path, old=self.config, overlay=self.overlay))
+                self._apply(configs.load(self.path, old=self.config, overlay=self.overlay))
             except configs.ConfigError as fault:
                 self.log.say("reload", f"the old settings stay: {fault}")
 
-    def lay_over(self, overlay: configs.Overlay) -> configs.Config | None:
-        """Take a revision over the file as it is now; `ConfigError`, and nothing changed, if it is not sound.
+    def apply_overlay(self, overlay: configs.Overlay) -> configs.Config | None:
+        """Read the file again and apply a revision to it. Returns the new configuration, None if it is equal.
 
-        The configuration that `retune` was called with, or None if the settings are as before.
+        Raises `ConfigError`, and changes nothing, if the result is invalid.
         """
         with self._lock:
             before = self.config
-            self._take(configs.load(self.path, old=self.config, overlay=overlay))
+            self._apply(configs.load(self.path, old=self.config, overlay=overlay))
             self.overlay = overlay
-            return self.config if _differs(before, self.config) else None
+            return self.config if _settings_differ(before, self.config) else None
 
-    def _take(self, read: configs.Config) -> None:
+    def _apply(self, read: configs.Config) -> None:
         old = self.config
-        fresh, later = configs.retuned(old, read)
-        moved = self.platform.move(fresh.discovery)
-        host, port = fresh.discovery
-        differs = _differs(old, fresh)
+        new, at_restart = configs.retuned(old, read)
+        moved = self.platform.move(new.discovery)
+        host, port = new.discovery
+        differs = _settings_differ(old, new)
         self.log.say(
             "reload",
             f"discovery {'is now' if moved else 'stays'} at {host}:{port}"
             + "; the settings differ" * differs
-            + (f"; {', '.join(later)} as changed will hold from the next start" if later else ""),
+            + (f"; {', '.join(at_restart)} as changed will hold from the next start" if at_restart else ""),
         )
-        self.config = fresh
+        self.config = new
         if differs:
-            self.apply_settings(fresh)
+            self.apply_settings(new)
 
 
-def _differs(old: configs.Config, fresh: configs.Config) -> bool:
-    """Whether the owner has to take the other one."""
-    return (fresh.settings, fresh.rules, fresh.limits) != (old.settings, old.rules, old.limits)
+def _settings_differ(old: configs.Config, new: configs.Config) -> bool:
+    """Whether the decision loop has to be given the new configuration."""
+    return (new.settings, new.rules, new.limits) != (old.settings, old.rules, old.limits)
 
 
 def load_blocks(path: str | None) -> Blocks:
-    """The settings file, if one is named; the parser is loaded only then. `SettingsError` has all
-    mistakes."""
+    """The blocks of the settings file; defaults if none is named, without loading the parser.
+
+    Raises `SettingsError` with all mistakes in the file.
+    """
     if not path:
         return Blocks()
     from willownotch.settings.reader import load
@@ -171,37 +175,37 @@
 def reload_settings(
     path: str | None, blocks: Blocks, bodies: Bodies, mesh: Mesh | None, following: Following | None, log: Log
 ) -> Blocks:
-    """Take a replaced settings file, whole or not at all; the blocks that hold now."""
+    """Apply a replaced settings file, completely or not at all. Returns the blocks now in force."""
     if not path:
         return blocks
-    later = []
+    at_restart = []
     try:
-        fresh = load_blocks(path)
-        if mesh is not None:  # also where the file is as before: its keys may not be
-            later += [mesh.reload(fresh)]
-        elif fresh.peers.listen != blocks.peers.listen:
-            later += ["peers listen"]
-        if following is not None and fresh.follow.enabled():
-            following.reload(fresh.follow)
+        new = load_blocks(path)
+        if mesh is not None:  # also if the file is unchanged: the key file that it names may differ
+            at_restart += [mesh.reload(new)]
+        elif new.peers.listen != blocks.peers.listen:
+            at_restart += ["peers listen"]
+        if following is not None and new.follow.enabled():
+            following.reload(new.follow)
     except (ValueError, OSError) as fault:
         log.say("reload", f"the old settings stay: {fault}")
         return blocks
-    later += ["journal-share"] * (fresh.bodies.journal_share != blocks.bodies.journal_share)
-    later += [
+    at_restart += ["journal-share"] * (new.bodies.journal_share != blocks.bodies.journal_share)
+    at_restart += [
         f"follow {word}"
         for word in ("folder", "listen", "name")
-        if getattr(fresh.follow, word) != getattr(blocks.follow, word)
+        if getattr(new.follow, word) != getattr(blocks.follow, word)
     ]
-    later += ["control socket"] * (fresh.control != blocks.control)
-    if fresh != blocks:
-        bodies.configure(fresh.bodies)
-        waiting = ", ".join(filter(None, later))
+    at_restart += ["control socket"] * (new.control != blocks.control)
+    if new != blocks:
+        bodies.configure(new.bodies)
+        waiting = ", ".join(filter(None, at_restart))
         log.say(
             "reload",
             f"the settings of {path} hold now"
             + f"; {waiting} as changed will hold from the next start" * bool(waiting),
         )
-    return fresh
+    return new
 
 
 def open_mesh(
@@ -212,7 +216,7 @@
     log: Log,
     succeeds: bool = False,
 ) -> tuple[Mesh | None, Server | None]:
-    """Peers and the control socket where the settings have them; nothing is loaded where they do not."""
+    """Open peers and the control socket if the settings have them; otherwise their modules are not loaded."""
     mesh = channel = None
     if blocks.peers.listen is not None:
         from willownotch.mesh import Mesh
@@ -248,27 +252,27 @@
 def open_following(
     config: configs.Config,
     blocks: Blocks,
-    reloads: Reloads,
+    reloader: ConfigReloader,
     files: Files,
     log: Log,
     lifecycle: SharedLifecycle,
     channel: Server | None,
     startup: Startup,
 ) -> Following | None:
-    """The side that follows the control plane, where the settings have it; nothing is loaded where not."""
+    """Follow the control plane if the settings say so; otherwise its modules are not loaded."""
     if not blocks.follow.enabled():
         return None
     from willownotch.controlplane.sender import Following
 
     try:
-        made = startup.attempt(
+        following = startup.attempt(
             "the address of the followed configuration",
             lambda: Following(
                 blocks.follow,
                 config.name,
                 files,
                 lambda text: log.say("follow", text),
-                reloads.lay_over,
+                reloader.apply_overlay,
                 lambda: lifecycle.current.handed_over,
             ),
         )
@@ -277,8 +281,8 @@
         sys.stderr.flush()
         os._exit(EXIT_FAULTY)
     if channel is not None:
-        channel.handlers["follow"] = lambda about: made.view()
-    return made
+        channel.handlers["follow"] = lambda about: following.view()
+    return following
 
 
 def serve(
@@ -289,9 +293,10 @@
     files: Files = REAL,
     overlay: configs.Overlay | None = None,
 ) -> int:
-    """Run the sender until it is told to stop. `overlay` is the revision of the fleet's that it starts on."""
+    """Run the sender until it is told to stop. `overlay` is the fleet's revision to start with."""
     signals = {signal.SIGTERM, signal.SIGINT}
-    # Before any thread: this one takes them, and the reloading one SIGHUP, which must never end the sender.
+    # Before any thread starts: this thread receives the signals to stop, and the reloading thread SIGHUP,
+    # which must never end the sender.
     signal.pthread_sigmask(signal.SIG_BLOCK, {*signals, signal.SIGHUP})
     threading.stack_size(THREAD_STACK_BYTES)
     memory.configure_malloc()
@@ -304,10 +309,10 @@
     )
     calls = Calls(lifecycle, clock, log)
     startup = Startup(log, lambda: signal.sigtimedwait(signals, 0) is not None)
-    origin_unwritten: Callable[[], None] | None = None
+    write_origin: Callable[[], None] | None = None
     try:
         if config.management is not None:
-            # First of all: it answers while the journal is read, too.
+            # Before anything else, so that it answers while the journal is read.
             address = startup.attempt(
                 "the management address", lambda: listen(config.management, management.BACKLOG)
             )
@@ -320,25 +325,27 @@
         state = inherited.state if inherited else None
         if state is not None:
             clock.adopt(state.clock)
-            origin_unwritten = timebase.keep(clock, config.state, files, log)
-            fresh, (config, _) = config, configs.retuned(state.config, config)
-            config = msgspec.structs.replace(config, management=fresh.management, limits=fresh.limits)
-        # Bound before the folder is touched: a process of a version without the lock may still serve there.
+            write_origin = timebase.keep(clock, config.state, files, log)
+            new, (config, _) = config, configs.retuned(state.config, config)
+            config = msgspec.structs.replace(config, management=new.management, limits=new.limits)
+        # Bound before the folder is opened: a process of a version without the lock may still be using it.
         listener = (
             inherited.listener
             if inherited
             else startup.attempt("the address for clients", lambda: listen(config.listen, BACKLOG))
         )
         if state is None:
-            origin_unwritten = startup.attempt(
+            write_origin = startup.attempt(
                 "the folder", lambda: timebase.restore(clock, config.state, files, log), None
             )
-        # Without what is owed there is nothing to start on, however long that takes.
+        # Without the outstanding messages the sender must not start, however long it takes to read them.
         journal, bodies, lost = startup.attempt(
             "the folder",
             lambda: open_folder(
                 config.state,
-                int(config.limits.disk_mb * MEGABYTE) - CLOCK_BYTES - slow_start_file.RESERVED_BYTES,
+                int(config.limits.disk_mb * BYTES_PER_MB)
+                - CLOCK_FILES_BYTES
+                - slow_start_file.RESERVED_BYTES,
                 files,
                 clock,
                 log,
@@ -362,14 +369,13 @@
             "addresses of the mesh",
             lambda: open_mesh(config, blocks, files, journal, log, succeeds=inherited is not None),
         )
-    except InterruptedError:  # SIGTERM while another process held the folder: nothing was begun
-        log.say("end", "ended before anything was taken over")
+    except InterruptedError:  # SIGTERM while another process held the folder
+        log.say("end", "stopped before it took anything over")
         os._exit(0)
     except (OSError, ValueError, OverflowError) as fault:
         print(f"willownotch: cannot start: {fault}", file=sys.stderr)
         sys.stderr.flush()
-        # Operators may be answered already, and a thread of theirs is no reason to stay
-        os._exit(EXIT_FAULTY)
+        os._exit(EXIT_FAULTY)  # at once: the management thread may be running already
     calls.empty = lambda: threads.start("drain", client_side.close_idle_while_draining)
     for fault in journal.faults:
         log.say("journal", fault)
@@ -409,7 +415,7 @@
     registry = EndpointListWatcher(config, platform, log, clock, decision_loop.post)
     if state is not None:
         endpoint_side.adopt(state.waits, inherited.idle)
-        if state.discovery == config.discovery:  # else its versions say nothing
+        if state.discovery == config.discovery:  # another service counts other versions
             registry.index = state.list_index
     if inherited is not None:
         predecessor_link = PredecessorLink(inherited, log, decision_loop, endpoint_side, client_side)
@@ -417,28 +423,28 @@
             relay
         )
 
-    def retuned(fresh: configs.Config) -> None:
-        """By the owner, in the round from which the settings hold."""
-        bodies.apply_settings(fresh.settings.classes)
-        client_side.apply_settings(fresh)
-        endpoint_side.apply_settings(fresh)
+    def retuned(new: configs.Config) -> None:
+        """Called by the decision loop, in the round from which the settings apply."""
+        bodies.apply_settings(new.settings.classes)
+        client_side.apply_settings(new)
+        endpoint_side.apply_settings(new)
         if following is not None:
-            following.holds(fresh)
+            following.holds(new)
 
     decision_loop.retuned = retuned
-    reloads = Reloads(
-        path, config, platform, log, lambda fresh: decision_loop.post(SettingsUpdate(fresh)), overlay
+    reloader = ConfigReloader(
+        path, config, platform, log, lambda new: decision_loop.post(SettingsUpdate(new)), overlay
     )
-    following = open_following(config, blocks, reloads, files, log, lifecycle, channel, startup)
+    following = open_following(config, blocks, reloader, files, log, lifecycle, channel, startup)
 
-    def take_reloads() -> None:
-        held = blocks
-        if inherited is not None:  # the file may have changed after this process had read it
-            reloads.read_file()
-        while True:  # also while the sender ends: its notices follow the platform to the last
+    def handle_sighup() -> None:
+        current_blocks = blocks
+        if inherited is not None:  # the file may have changed since this process read it
+            reloader.reload_file()
+        while True:  # also while the sender stops: its notices go to the current platform until the end
             signal.sigwait({signal.SIGHUP})
-            reloads.read_file()
-            held = reload_settings(settings_path, held, bodies, mesh, following, log)
+            reloader.reload_file()
+            current_blocks = reload_settings(settings_path, current_blocks, bodies, mesh, following, log)
 
     if mesh is not None:
         if mesh.counting is not None:
@@ -447,12 +453,12 @@
     if channel is not None:
         threads.start("control", channel.run)
     if state is not None:
-        decision_loop.adopt(state)  # at once: clients may be answered from here on
+        decision_loop.adopt(state)  # at once: from here on clients may be answered
     if inherited is not None:
         threads.start("predecessor", predecessor_link.run)
-    if origin_unwritten is not None:
-        threads.start("clock", origin_unwritten)
-    threads.start("reload", take_reloads, forever=True)
+    if write_origin is not None:
+        threads.start("clock", write_origin)
+    threads.start("reload", handle_sighup, forever=True)
     threads.start("bodies", bodies.run, forever=True)
     if following is not None:
         threads.start("follow", following.run)
@@ -474,53 +480,53 @@
     )
     if inherited is not None:
         predecessor.predecessor_gone = predecessor_link.gone.is_set
-    if mesh is not None:  # its addresses are the next process's
+    if mesh is not None:  # the next process needs its addresses
         predecessor.release_steps.append(mesh.stop)
     if following is not None:
         predecessor.release_steps.append(following.stop)
-    # Custody stays with a process: the next one claims it, as any other sender would.
+    # Custody is not handed over: the next process claims it, as any other sender would.
     if keeper is None:
         threads.start("upgrade", predecessor.run)
     log.say("start", f"listening on {config.listen[0]}:{client_side.port}, journal in {config.state}")
-    told = signal.sigwait(signals)
-    if told == signal.SIGTERM:
-        lifecycle.tell(Event.STOP, clock.now())  # no hand-over begins from now on
-    if lifecycle.wait_handed_over():  # it ends by itself, once its calls have
+    received = signal.sigwait(signals)
+    if received == signal.SIGTERM:
+        lifecycle.tell(Event.STOP, clock.now())  # no hand-over can begin after this
+    if lifecycle.wait_handed_over():  # the process ends by itself once its calls have ended
         threading.Event().wait()
-    if told == signal.SIGTERM:
+    if received == signal.SIGTERM:
         endpoint_side.stopping = True
         decision_loop.post(Stop())
-        told = signal.sigtimedwait(signals, seconds(CLIENT_STOP_DELAY))
-        log.say("stop", "clients are let go, before a kill leaves their requests without an answer")
+        received = signal.sigtimedwait(signals, seconds(CLIENT_STOP_DELAY))
+        log.say("stop", "clients are let go: a kill would leave their requests without an answer")
         client_side.stop(CLIENT_STOP_GRACE)
-        if told is None:  # what is held goes on: the longer, the less is left for the next process
-            signal.sigtimedwait(signals, seconds(STOP_AFTER - CLIENT_STOP_DELAY))
-        for number in signals:  # whoever asks a third time does not want to wait
+        if received is None:  # relays continue: the more end here, the fewer are left for the next process
+            signal.sigtimedwait(signals, seconds(STOP_TIMEOUT - CLIENT_STOP_DELAY))
+        for number in signals:  # a third signal ends the process at once
             signal.signal(number, signal.SIG_DFL)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)
-        endpoint_side.finish(LAST_RELAYS)
+        endpoint_side.finish(RELAY_STOP_TIMEOUT)
     if following is not None:
         following.stop()
     if mesh is not None:
         mesh.stop()
     if channel is not None:
         channel.close()
-    log.say("end", f"ended; what is still owed stands in the journal; {log.counters.summary()}")
+    log.say("end", f"ended; outstanding messages are kept in the journal; {log.counters.summary()}")
     sys.stderr.flush()
     os._exit(0)
 
 
-class Found(NamedTuple):
-    """What there is to start on. With a mistake, a line each, nothing may be started."""
+class StartConfig(NamedTuple):
+    """What a sender starts with. It must not start if there are mistakes, one line each."""
 
     config: configs.Config | None
     blocks: Blocks
-    overlay: configs.Overlay | None  # the revision that was in force last, where members are followed
+    overlay: configs.Overlay | None  # the revision last in force, if the sender follows a control plane
     mistakes: list[str]
 
 
-def read_files(config_path: str | None, settings_path: str | None) -> Found:
-    """Both files, the revision that lies over the configuration, and all that is wrong with them."""
+def read_files(config_path: str | None, settings_path: str | None) -> StartConfig:
+    """Read both files and the revision applied to the configuration, and collect all mistakes."""
     mistakes, config, blocks, overlay = [], None, Blocks(), None
     try:
         config = configs.load(config_path)
@@ -554,11 +560,11 @@
                 f"{settings_path}: block bodies names classes that the configuration does not "
                 f"have: {', '.join(unknown)}, allowed: {', '.join(known)}"
             )
-    return Found(config, blocks, overlay, mistakes)
+    return StartConfig(config, blocks, overlay, mistakes)
 
 
 def start(config_path: str | None, settings_path: str | None, files: Files = REAL) -> int:
-    """Serve, if both files are sound; the exit code."""
+    """Serve if both files are valid; the exit code."""
     found = read_files(config_path, settings_path)
     if found.mistakes or found.config is None:
         print("\n".join(found.mistakes), file=sys.stderr)
@@ -567,9 +573,9 @@
 
 
 def main(arguments: list[str] | None = None, files: Files = REAL) -> int:
-    """Carry out one command and return the exit code. A sender keeps its folder by `files`."""
+    """Run one command and return the exit code. `files` is how the sender accesses its folder."""
     arguments = sys.argv[1:] if arguments is None else arguments
-    if not arguments and COMPLETE_VARIABLE not in os.environ:  # a shell that completes gives none either
+    if not arguments and COMPLETE_VARIABLE not in os.environ:  # shell completion also calls without arguments
         return start(None, os.environ.get(SETTINGS_VARIABLE), files)
     from willownotch import commands
 
