--- a/willownotch/__main__.py
+++ b/willownotch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m willownotch`."""
+"""Entry point of `python -m willownotch`."""
 
 import sys
 
--- a/willownotch/net/__init__.py
+++ b/willownotch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sender: sockets, journal and discovery round the decision module."""
+"""The sender as a process: sockets, journal and discovery around the decision module."""
--- a/willownotch/net/client_requests.py
+++ b/willownotch/net/client_requests.py
@@ -15,7 +15,7 @@
 DESTINATION_PATTERN = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
 
 
-class RequestError(ValueError):
+class RefusedError(ValueError):
     """A request that cannot be accepted; `status` is the status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -26,7 +26,7 @@
 def read_message(head: http.Head, body: bytes, arrived: datetime, config: Config) -> AcceptedMessage:
     """The message that a request hands in. Its time to deliver counts from the request's first byte.
 
-    Raises `RequestError` if a header is missing or invalid.
+    Raises `RefusedError` if a header is missing or invalid.
     """
     headers, settings = head.headers, config.settings
     ref, name, tenant = (headers.get(h, "") for h in ("request-id", "request-class", "tenant"))
@@ -51,7 +51,7 @@
     ]
     for failed, text in checks:
         if failed:
-            raise RequestError(400, text)
+            raise RefusedError(400, text)
     return AcceptedMessage(
         ref=ref,
         destination=int(destination[1]),
--- a/willownotch/net/client_side.py
+++ b/willownotch/net/client_side.py
@@ -28,7 +28,7 @@
     StageQueues,
     max_client_connections,
 )
-from willownotch.net.client_requests import RequestError, read_message, rewrite_request
+from willownotch.net.client_requests import RefusedError, read_message, rewrite_request
 from willownotch.net.clock import ZERO, Clock, millis, seconds
 from willownotch.net.config import Config
 from willownotch.net.decision_loop import DecisionLoop
@@ -449,7 +449,7 @@
             )
             reply = self._reject(DEFAULT_RETRY_AFTER, "not passed on")  # the last answer on this connection
             client.ending = True
-        except RequestError as fault:
+        except RefusedError as fault:
             self.log.say("bad", f"{fault}, answered {fault.status}")
             reply = Reply(fault.status, f"{fault}\n".encode())
             client.bad_in_a_row += 1
@@ -537,7 +537,7 @@
         path = urlsplit(head.target).path
         routes = {"/api": ("POST",), "/health/ready": ("GET", "HEAD"), "/health/live": ("GET", "HEAD")}
         if path not in routes:
-            raise RequestError(404, f"nothing is at {path!r}")
+            raise RefusedError(404, f"nothing is at {path!r}")
         if head.method not in routes[path]:
             return Reply(405, headers=[("Allow", ", ".join(routes[path]))])
         if path == "/api":
@@ -579,7 +579,7 @@
         if answer.verdict is Verdict.ACCEPTED:
             return Reply(202, message=message.ref, pending=pending)
         if answer.verdict is Verdict.CONFLICT:
-            raise RequestError(409, f"{message.ref} is the id of another message")
+            raise RefusedError(409, f"{message.ref} is the id of another message")
         if answer.verdict is Verdict.REJECTED:
             return self._reject(answer.retry, answer.reason)
         return Reply(500, b"given up\n")
--- a/willownotch/net/config.py
+++ b/willownotch/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one sender: JSON into the few values used, then into the module's settings."""
+"""Reads the configuration of a sender: JSON, converted into the decision module's settings."""
 
 from __future__ import annotations
 
@@ -18,22 +18,30 @@
 from willownotch import interface as api
 from willownotch.net.rules import Rules, rules_of
 
-MOST_PERIOD_S = 0.05  # s between two rounds: a client's answer waits for one
-READ_TRIES, READ_PAUSE_S = 30, 0.05
-READ_AGAIN = {errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN, errno.ESTALE}
+MAX_PERIOD_S = 0.05  # between two decision rounds: a client's answer waits for one
+MAX_READ_TRIES, READ_RETRY_DELAY_S = 30, 0.05
+READ_RETRY_ERRORS = {
+    errno.EIO,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOMEM,
+    errno.EINTR,
+    errno.EAGAIN,
+    errno.ESTALE,
+}
 
-Overlay = Callable[[Any], Any]  # of a file's decoded text, what holds of it
+Overlay = Callable[[Any], Any]  # from a file's decoded JSON to the JSON that applies
 
 
 class ConfigError(ValueError):
-    """What is wrong with the configuration, in one plain line."""
+    """The configuration is invalid; the text is one line for operators."""
 
 
-class Strict(msgspec.Struct, rename="camel"):
-    """Names as in the settings; keys that are not named here are skipped."""
+class CamelCaseStruct(msgspec.Struct, rename="camel"):
+    """Fields are read under camelCase names; unknown keys are ignored."""
 
 
-class ClassEntry(Strict):
+class ClassEntry(CamelCaseStruct):
     """One class of message."""
 
     name: str
@@ -48,15 +56,15 @@
     aim_stretch: float = 0.0
 
 
-class Org(Strict):
+class TenantEntry(CamelCaseStruct):
     """A tenant."""
 
     name: str
     quota_per_s: float = 0.0
 
 
-class Family(Strict):
-    """What this kind of service adds."""
+class FamilyInfoEntry(CamelCaseStruct):
+    """Settings of the kind of service."""
 
     slots: int
     decay: str = "even"
@@ -66,7 +74,7 @@
     refusal_cost: float = 0.0
 
 
-class Policy(Strict):
+class PolicyLimitsEntry(CamelCaseStruct):
     """The limits on what a sender may do."""
 
     max_open: int
@@ -79,8 +87,8 @@
     second_copies: bool = False
 
 
-class RuleFigures(Strict):
-    """Figures of the rules."""
+class RulesEntry(CamelCaseStruct):
+    """Parameters of the delivery rules."""
 
     cold_share: float
     cold_s: float
@@ -91,31 +99,31 @@
     ask_within_s: float = 10.0
 
 
-class Costs(Strict, frozen=True):
-    """Points taken off the result."""
+class CostsEntry(CamelCaseStruct, frozen=True):
+    """Points deducted from the result."""
 
     waste: float = 0.0
     handshake: float = 0.0
 
 
-class Callers(Strict, frozen=True):
+class CallersEntry(CamelCaseStruct, frozen=True):
     """How clients behave."""
 
     marks_retry: bool = False
 
 
-class SettingsEntry(Strict):
-    """The object that an instance of the simulator is born with."""
+class SettingsEntry(CamelCaseStruct):
+    """The `settings` object, as the simulator gives it to a sender."""
 
     services: list[ClassEntry]
     models: list[str]
-    family_info: Family
-    policy_limits: Policy
-    rules: RuleFigures
+    family_info: FamilyInfoEntry
+    policy_limits: PolicyLimitsEntry
+    rules: RulesEntry
     peers_total: int
-    orgs: list[Org] = []
-    costs: Costs = Costs()
-    callers: Callers = Callers()
+    orgs: list[TenantEntry] = []
+    costs: CostsEntry = CostsEntry()
+    callers: CallersEntry = CallersEntry()
     period_s: float = 0.005
     discovery: str = "automatic"
     over_share_worth: float = 1.0
@@ -124,7 +132,7 @@
 
 
 class Limits(msgspec.Struct):
-    """What the machine allows."""
+    """Resource limits of the process."""
 
     memory_mb: float = 192.0
     sockets: int = 1024
@@ -132,7 +140,7 @@
 
 
 class ListedEndpoint(msgspec.Struct):
-    """One entry of discovery's list."""
+    """One endpoint in the list from discovery."""
 
     name: str
     address: str
@@ -145,7 +153,7 @@
 
 
 class ListUpdate(msgspec.Struct):
-    """Discovery's whole list, or the entries changed since the last version."""
+    """The whole list from discovery (`snapshot`), or the entries changed since the last version."""
 
     index: int
     snapshot: bool
@@ -167,7 +175,7 @@
 
 
 class Config(msgspec.Struct, frozen=True):
-    """All that the real sender is told, checked."""
+    """The validated configuration of a sender."""
 
     name: str
     listen: tuple[str, int]
@@ -181,14 +189,14 @@
     connect_timeout: timedelta
     keepalive: timedelta
     period: timedelta
-    management: tuple[str, int] | None = None  # where operators call; nowhere without it
-    rules: dict[str, Rules] = {}  # of each class, for the messages that are taken from now on
+    management: tuple[str, int] | None = None  # address of the management interface; none without it
+    rules: dict[str, Rules] = {}  # by class, for messages accepted from now on
     shared_discovery: bool = False  # discovery is one service for all senders, not an agent on this machine
-    keys: frozenset[str] = frozenset()  # that the file has: one that replaces it may not be short of any
+    keys: frozenset[str] = frozenset()  # in the file; a replacing file must have them all
 
 
 def read_address(text: str, what: str) -> tuple[str, int]:
-    """HOST:PORT."""
+    """Parse HOST:PORT. `what` names the address in the `ConfigError`."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65535:
         raise ConfigError(f"{what} is not HOST:PORT: {text!r}")
@@ -196,7 +204,7 @@
 
 
 def module_settings(entry: SettingsEntry) -> api.Settings:
-    """The module's settings. What no socket can carry (probes, notes between senders) stays off."""
+    """The decision module's settings. What the sockets do not carry (probes, peer notes) stays off."""
     family, policy, rules = entry.family_info, entry.policy_limits, entry.rules
     apart, batch = family.separate_routes, family.kind_batch
     return api.Settings(
@@ -248,13 +256,13 @@
     )
 
 
-def keys_of(value: Any, depth: int = 3) -> Iterator[str]:
-    """The keys of a file, of its objects and, of objects in a list, those that all have."""
+def key_paths(value: Any, depth: int = 3) -> Iterator[str]:
+    """The dotted paths of all keys in decoded JSON; of objects in a list, the keys that all have."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield key
             if depth > 1 and key != "known":
-                yield from (f"{key}.{name}" for name in keys_of(inner, depth - 1))
+                yield from (f"{key}.{name}" for name in key_paths(inner, depth - 1))
     elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
         yield from sorted(set.intersection(*(set(item) for item in value)))
 
@@ -262,38 +270,39 @@
 def read_config(
     text: bytes, env: Mapping[str, str], old: Config | None = None, overlay: Overlay | None = None
 ) -> Config:
-    """The file's text. The environment's own variables go first, but not before the file's `discovery`.
+    """Parse and check a file's text. Raises `ConfigError`.
 
-    A file can be replaced while the process runs; what the start's environment said is the older news. One
-    that replaces `old` has to have every key of that: one with a default would change a rule unasked.
-    `overlay` makes of the file's decoded text what holds, where a revision of the fleet's lies over it.
+    Environment variables take precedence, but not over the file's `discovery`: the file can be replaced while
+    the process runs, and is then newer than the environment. A file that replaces `old` must have all its
+    keys: a missing one would silently change a rule to its default. `overlay` applies a revision to the
+    decoded file.
     """
     try:
         file = msgspec.json.decode(text, type=ConfigFile)
-        keys = frozenset(keys_of(msgspec.json.decode(text)))
+        keys = frozenset(key_paths(msgspec.json.decode(text)))
         if overlay is not None:
             file = msgspec.convert(overlay(msgspec.json.decode(text)), ConfigFile)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as fault:
         raise ConfigError(f"the configuration cannot be read: {fault}") from None
     if old is not None and (missing := sorted(old.keys - keys)):
         raise ConfigError(f"the configuration is short of {missing[0]!r}, which it had before")
-    if doubled := sorted(
+    if duplicates := sorted(
         {c.name for c in file.settings.services if [d.name for d in file.settings.services].count(c.name) > 1}
     ):
-        raise ConfigError(f"the configuration has the class {doubled[0]!r} twice")
+        raise ConfigError(f"the configuration has the class {duplicates[0]!r} twice")
     state = env.get("LB_STATE") or file.state
     if not state:
-        raise ConfigError("no folder that lasts: set LB_STATE or 'state'")
+        raise ConfigError("no state folder: set LB_STATE or 'state'")
     if not re.fullmatch(r"[0-9a-fA-F]{1,64}", file.seed):
         raise ConfigError(f"'seed' is not a hexadecimal number: {file.seed!r}")
     if file.limits.sockets < 64 or file.limits.disk_mb <= 0:
-        raise ConfigError("'limits' want 64 sockets and some disk at the least")
+        raise ConfigError("'limits' must allow at least 64 sockets and some disk")
     try:
         settings = module_settings(file.settings)
     except ValueError as fault:
         raise ConfigError(str(fault)) from None
     policy = file.settings.policy_limits
-    called_at = env.get("LB_MANAGEMENT") or file.management
+    management = env.get("LB_MANAGEMENT") or file.management
     return Config(
         name=env.get("LB_NAME") or file.name or "sender",
         listen=read_address(env.get("LB_LISTEN") or file.listen, "the address to listen on"),
@@ -306,28 +315,28 @@
         zones=tuple(file.settings.zones),
         connect_timeout=timedelta(seconds=policy.connect_timeout_s),
         keepalive=timedelta(seconds=policy.keepalive_s or 60.0),
-        period=timedelta(seconds=min(MOST_PERIOD_S, max(0.0, file.settings.period_s))),
-        management=read_address(called_at, "the management address") if called_at else None,
+        period=timedelta(seconds=min(MAX_PERIOD_S, max(0.0, file.settings.period_s))),
+        management=read_address(management, "the management address") if management else None,
         shared_discovery=file.settings.discovery == "subscribe",
         keys=keys,
         rules={c.name: rules_of(c, settings.max_attempts) for c in settings.classes},
     )
 
 
-def retuned(old: Config, fresh: Config) -> tuple[Config, list[str]]:
-    """What holds in service of a configuration that replaces another, and what waits for the next start.
+def retuned(old: Config, new: Config) -> tuple[Config, list[str]]:
+    """The part of a replacing configuration that applies at once, and the names of what needs a restart.
 
-    Endpoints keep the kind and the zone that they were listed with, and files their limits.
+    Endpoints keep the kind and zone that they were listed with, and files keep their limits.
     """
     fixed = ("name", "listen", "state", "zones", "management")
-    later = [name for name in fixed if getattr(fresh, name) != getattr(old, name)]
-    later += ["kinds"] * (fresh.settings.kinds != old.settings.kinds)
+    at_restart = [name for name in fixed if getattr(new, name) != getattr(old, name)]
+    at_restart += ["kinds"] * (new.settings.kinds != old.settings.kinds)
     for name in ("disk_mb", "memory_mb"):
-        later += [name] * (getattr(fresh.limits, name) != getattr(old.limits, name))
-    limits = msgspec.structs.replace(old.limits, sockets=fresh.limits.sockets)
-    settings = replace(fresh.settings, kinds=old.settings.kinds)
-    keep = {name: getattr(old, name) for name in (*fixed, "seed", "known")}
-    return msgspec.structs.replace(fresh, limits=limits, settings=settings, **keep), later
+        at_restart += [name] * (getattr(new.limits, name) != getattr(old.limits, name))
+    limits = msgspec.structs.replace(old.limits, sockets=new.limits.sockets)
+    settings = replace(new.settings, kinds=old.settings.kinds)
+    kept = {name: getattr(old, name) for name in (*fixed, "seed", "known")}
+    return msgspec.structs.replace(new, limits=limits, settings=settings, **kept), at_restart
 
 
 def load(
@@ -336,24 +345,24 @@
     old: Config | None = None,
     overlay: Overlay | None = None,
 ) -> Config:
-    """The configuration at a path, or where $LB_CONFIG says."""
-    named = path or env.get("LB_CONFIG")
-    if not named:
+    """Read the configuration at `path`, or the one that $LB_CONFIG names. Raises `ConfigError`."""
+    file_path = path or env.get("LB_CONFIG")
+    if not file_path:
         raise ConfigError("no configuration: set LB_CONFIG or give --config FILE")
     try:
-        text = _read_patiently(Path(named))
+        text = _read_with_retries(Path(file_path))
     except OSError as fault:
         raise ConfigError(f"the configuration cannot be read: {fault}") from None
     return read_config(text, env, old, overlay)
 
 
-def _read_patiently(path: Path) -> bytes:
-    """A file's bytes; what a disk or the machine refuses for a moment is tried again."""
-    for attempt in range(READ_TRIES):
+def _read_with_retries(path: Path) -> bytes:
+    """A file's bytes; reading is repeated after errors of the disk or the system that may pass."""
+    for attempt in range(MAX_READ_TRIES):
         try:
             return path.read_bytes()
         except OSError as fault:
-            if fault.errno not in READ_AGAIN or attempt + 1 == READ_TRIES:
+            if fault.errno not in READ_RETRY_ERRORS or attempt + 1 == MAX_READ_TRIES:
                 raise
-            time.sleep(READ_PAUSE_S)
+            time.sleep(READ_RETRY_DELAY_S)
     raise AssertionError("unreachable")
--- a/willownotch/net/folder.py
+++ b/willownotch/net/folder.py
@@ -1,4 +1,4 @@
-"""The folder that lasts, opened whole: the journal, the body store, and the one limit that they share."""
+"""Opens the state folder: the journal and the body store, which share one limit on disk space."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     memory_mb: float = 192.0,
     live: dict[str, Entry] | None = None,
 ) -> tuple[Journal, Bodies, list[str]]:
-    """Journal and store, wired to each other, and the messages whose body was not found; or `OSError`.
+    """The journal and the body store, and the ids of messages whose body was not found.
 
-    `live` is what another process handed over: it is the journal's content, and nothing is read.
+    `live` is the journal's content as another process handed it over; nothing is read then. Raises `OSError`.
     """
     space = Space(disk_bytes, settings.journal_share)
     journal = Journal(folder, space, files)
