--- a/willownotch/commands.py
+++ b/willownotch/commands.py
@@ -1,4 +1,4 @@
-"""The sub-commands, on click. Each is thin: its subsystem does the work, and is loaded when asked for."""
+"""The sub-commands, built with click. Each calls its subsystem, which is imported only then."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 if TYPE_CHECKING:
     from willownotch.controlplane.asking import Wanted
 
-CONFIG = click.option("--config", metavar="FILE", help="The configuration (else $LB_CONFIG).")
-SETTINGS = click.option(
+CONFIG_OPTION = click.option("--config", metavar="FILE", help="The configuration (else $LB_CONFIG).")
+SETTINGS_OPTION = click.option(
     "--settings",
     metavar="FILE",
     envvar=SETTINGS_VARIABLE,
     help=f"The settings file, if any (else ${SETTINGS_VARIABLE}).",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
-FOLDER = click.argument("folder", type=click.Path(path_type=Path), envvar="LB_STATE", default=".")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
+FOLDER_ARGUMENT = click.argument("folder", type=click.Path(path_type=Path), envvar="LB_STATE", default=".")
 
 
-def told(found: Any, as_json: bool, table) -> None:
-    """Print an answer as JSON or as a table."""
+def print_result(found: Any, as_json: bool, table) -> None:
+    """Print `found` as JSON, or as the text that `table` makes of it."""
     click.echo(msgspec.json.encode(found).decode() if as_json else table(found))
 
 
-def faulty(text: object) -> int:
-    """A mistake of who asked: one line, exit 2."""
+def input_error(text: object) -> int:
+    """Report an input error on one line; the exit code 2."""
     click.echo(f"willownotch: {text}", err=True)
     return EXIT_FAULTY
 
@@ -45,17 +45,17 @@
 
 
 @group.command()
-@CONFIG
-@SETTINGS
+@CONFIG_OPTION
+@SETTINGS_OPTION
 def serve(config: str | None, settings: str | None) -> int:
     """Run the sender (the default)."""
     return start(config, settings)
 
 
 @group.command()
-@CONFIG
-@SETTINGS
-@JSON
+@CONFIG_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def check(config: str | None, settings: str | None, as_json: bool) -> int:
     """Say whether the sender would start, or all that is wrong with its files."""
     read = read_files(config, settings)
@@ -69,7 +69,7 @@
         "slots": found.settings.slots,
         "holding_room": found.settings.holding_room,
     }
-    told(
+    print_result(
         view,
         as_json,
         lambda v: f"{v['name']}: listens on {v['listen']}, {v['classes']} classes, "
@@ -79,21 +79,21 @@
 
 
 @group.command()
-@FOLDER
-@JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def journal(folder: Path, as_json: bool) -> int:
-    """Show what a journal holds, a line for each message that is not over."""
+    """Show what a journal holds, one line for each message that has not ended."""
     from willownotch.journal.records import replay
     from willownotch.net import journal as journals
 
     try:
         data = (folder / journals.NAME).read_bytes()
     except OSError as fault:
-        return faulty(f"the journal cannot be read: {fault}")
+        return input_error(f"the journal cannot be read: {fault}")
     live, damaged = replay(data)
     rows = []
     for entry in live.values():
-        message, runs = entry.message, [entry.may_have_run(n) for n in range(entry.count())]
+        message, may_have_run = entry.message, [entry.may_have_run(n) for n in range(entry.count())]
         rows.append(
             {
                 "ref": message.ref,
@@ -101,8 +101,8 @@
                 "class": message.message_class,
                 "until": message.ends_at,
                 "key": message.key,
-                "relays": len(runs),
-                "may_have_run": sum(runs),
+                "relays": len(may_have_run),
+                "may_have_run": sum(may_have_run),
                 "body": message.body_size(),
                 "ended": entry.ended.outcome if entry.ended else None,
             }
@@ -117,7 +117,7 @@
         )
 
     found = {"messages": rows, "bytes": len(data), "damaged": damaged}
-    told(
+    print_result(
         found,
         as_json,
         lambda f: "\n".join(
@@ -128,8 +128,8 @@
 
 
 @group.command()
-@FOLDER
-@JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 @click.option("--verify", is_flag=True, help="Read every body and compare its checksum.")
 def bodies(folder: Path, as_json: bool, verify: bool) -> int:
     """Show what bodies a folder keeps, by class and destination; exit 1 if any is missing or damaged."""
@@ -143,96 +143,98 @@
         owed = [entry.message for entry in live.values() if entry.ended is None]
         kept = show.look(folder, owed, Clock().now(), verify)
     except OSError as fault:
-        return faulty(f"the folder cannot be read: {fault}")
-    told(kept, as_json, show.table)
+        return input_error(f"the folder cannot be read: {fault}")
+    print_result(kept, as_json, show.table)
     return 1 if kept.damaged else 0
 
 
 def control_socket(socket: str | None, settings: str | None) -> str:
-    """Where to ask; `ValueError` says what is wanted."""
+    """The path of the control socket to ask. Raises `ValueError` if neither option gives one."""
     path = socket or load_blocks(settings).control.socket
     if path is None:
-        raise ValueError("whom? wanted: --socket PATH, or --settings FILE whose block control names a socket")
+        raise ValueError(
+            "no control socket, wanted: --socket PATH, or --settings FILE whose block control names a socket"
+        )
     return path
 
 
-def ask(question: str, socket: str | None, settings: str | None, as_json: bool, **about: object) -> int:
-    """Ask a running sender, and print its answer as a table or as JSON."""
+def ask(question: str, socket: str | None, settings: str | None, as_json: bool, **parameters: object) -> int:
+    """Ask a running sender and print its answer as a table or as JSON; the exit code."""
     from willownotch.channel import client, tables
 
     try:
         path = control_socket(socket, settings)
-        words = {word: str(value) for word, value in about.items() if value is not None}
-        found = client.ask(path, question, words)
+        arguments_by_name = {word: str(value) for word, value in parameters.items() if value is not None}
+        found = client.ask(path, question, arguments_by_name)
     except (client.AskError, ValueError) as fault:
-        return faulty(fault)
-    told(found, as_json, tables.TABLES[question])
+        return input_error(fault)
+    print_result(found, as_json, tables.TABLES[question])
     return 0
 
 
-SOCKET = click.option("--socket", metavar="PATH", help="The sender's control socket.")
+SOCKET_OPTION = click.option("--socket", metavar="PATH", help="The sender's control socket.")
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def counters(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show what a running sender has counted since it began, by event and reason."""
     return ask("counters", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def peers(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show what a running sender knows of its peers."""
     return ask("peers", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def replica(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show what a running sender holds with whom, what it holds for others, and how far they lag."""
     return ask("replica", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def leases(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show who holds which duty, its token and the time left, as a running sender knows it."""
     return ask("leases", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def follow(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show which member of the control plane a running sender follows, and what it has in force."""
     return ask("follow", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def shared(socket: str | None, settings: str | None, as_json: bool) -> int:
-    """Show a running sender's parts of budgets, and what senders have found of endpoints."""
+    """Show a running sender's shares of budgets, and what senders have found out about endpoints."""
     return ask("shared", socket, settings, as_json)
 
 
 @group.command()
-@SOCKET
-@SETTINGS
-@JSON
-@click.option("--tenant", help="Of this tenant only.")
-@click.option("--lines", type=click.IntRange(0), help="Lines at the most, the highest counts first.")
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
+@click.option("--tenant", help="Show this tenant only.")
+@click.option("--lines", type=click.IntRange(0), help="At most so many lines, the highest counts first.")
 def usage(
     socket: str | None, settings: str | None, as_json: bool, tenant: str | None, lines: int | None
 ) -> int:
@@ -241,11 +243,11 @@
 
 
 @group.command()
-@SETTINGS
+@SETTINGS_OPTION
 @click.option(
     "--bootstrap",
     is_flag=True,
-    help="The first start of all: an empty folder is a new one, and not one that was lost.",
+    help="For the first start ever: accept an empty folder as a new one, not as one that was lost.",
 )
 def member(settings: str | None, bootstrap: bool) -> int:
     """Run a member of the control plane."""
@@ -256,39 +258,39 @@
 
 @group.group()
 def config() -> None:
-    """Look at and change the configuration that the control plane holds, at any member."""
+    """Show and change the configuration that the control plane holds, at any member."""
 
 
-EXPECT = click.option(
+EXPECT_OPTION = click.option(
     "--expect",
     metavar="REVISION",
     type=click.IntRange(0),
-    help="What the change is based on (else the last): who has changed one of its keys " "since then wins.",
+    help="The revision that the change is based on (else the last); it loses to newer changes of its keys.",
 )
-ID = click.option(
-    "--id", "change_id", metavar="ID", help="Ask again for a change whose outcome is not known."
+ID_OPTION = click.option(
+    "--id", "change_id", metavar="ID", help="Repeat a change whose outcome is not known."
 )
 
 
-def looked(socket: str | None, settings: str | None, look: Callable[[str], int]) -> int:
-    """Carry out what is asked of a member. Exit 1 if it refuses, 2 if it cannot be asked."""
+def run_at_member(socket: str | None, settings: str | None, action: Callable[[str], int]) -> int:
+    """Call `action` with the member's socket. Exit code 1 if the member refuses, 2 if it cannot be asked."""
     from willownotch.channel.client import AnswerError, AskError
 
     try:
-        return look(control_socket(socket, settings))
+        return action(control_socket(socket, settings))
     except AnswerError as fault:
         click.echo(f"willownotch config: {fault}", err=True)
         return 1
     except (AskError, ValueError, OSError) as fault:
-        return faulty(fault)
+        return input_error(fault)
 
 
-def changed(path: str, change_id: str | None, wanted: Wanted, as_json: bool) -> int:
-    """Ask for a change and tell what became of it."""
+def submit_change(path: str, change_id: str | None, wanted: Wanted, as_json: bool) -> int:
+    """Submit a change, if there is one, and print its outcome; the exit code."""
     from willownotch.controlplane import asking
 
     if not wanted:
-        told(
+        print_result(
             {"outcome": "nothing to change", "revision": wanted.base},
             as_json,
             lambda found: f"nothing to change: revision {wanted.base} has it so",
@@ -297,7 +299,7 @@
     found = asking.submit(path, change_id or asking.new_id(), wanted)
     code = asking.CODES.get(found["outcome"], asking.UNKNOWN)
     if code == asking.DONE or as_json:
-        told(found, as_json, lambda found: asking.outcome(found, wanted))
+        print_result(found, as_json, lambda found: asking.outcome(found, wanted))
     else:
         click.echo(f"willownotch config: {asking.outcome(found, wanted)}", err=True)
     return code
@@ -306,11 +308,11 @@
 @config.command("put")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--merge", is_flag=True, help="Remove nothing.")
-@EXPECT
-@ID
-@SOCKET
-@SETTINGS
-@JSON
+@EXPECT_OPTION
+@ID_OPTION
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_put(
     file: Path,
     merge: bool,
@@ -320,24 +322,26 @@
     settings: str | None,
     as_json: bool,
 ) -> int:
-    """Make the entries those of FILE: what it does not name is removed."""
+    """Replace all entries by those of FILE; entries that it does not name are removed."""
     from willownotch.controlplane import asking, entries
 
-    def look(path: str) -> int:
+    def action(path: str) -> int:
         wanted = entries.parse(file.read_text(encoding="utf-8"), str(file))
-        return changed(path, change_id, asking.toward(asking.entries(path, expect), wanted, merge), as_json)
+        return submit_change(
+            path, change_id, asking.toward(asking.entries(path, expect), wanted, merge), as_json
+        )
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("set")
 @click.argument("key")
 @click.argument("value")
-@EXPECT
-@ID
-@SOCKET
-@SETTINGS
-@JSON
+@EXPECT_OPTION
+@ID_OPTION
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_set(
     key: str,
     value: str,
@@ -350,21 +354,21 @@
     """Set the entry KEY to VALUE, a JSON text."""
     from willownotch.controlplane import asking, entries
 
-    def look(path: str) -> int:
+    def action(path: str) -> int:
         wanted = entries.parse(f"{key} {value}", "KEY VALUE")
         found = asking.entries(path, expect, key)
-        return changed(path, change_id, asking.toward(found, wanted, merge=True), as_json)
+        return submit_change(path, change_id, asking.toward(found, wanted, merge=True), as_json)
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("unset")
 @click.argument("key")
-@EXPECT
-@ID
-@SOCKET
-@SETTINGS
-@JSON
+@EXPECT_OPTION
+@ID_OPTION
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_unset(
     key: str,
     expect: int | None,
@@ -376,23 +380,23 @@
     """Remove the entry KEY."""
     from willownotch.controlplane import asking
 
-    def look(path: str) -> int:
+    def action(path: str) -> int:
         found = asking.entries(path, expect, key)
         if not found["entries"]:
             click.echo(f"willownotch config: revision {found['revision']} has no entry {key!r}", err=True)
             return asking.REFUSED
-        return changed(path, change_id, asking.toward(found, {}), as_json)
+        return submit_change(path, change_id, asking.toward(found, {}), as_json)
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("rollback")
 @click.argument("revision", type=click.IntRange(0))
-@EXPECT
-@ID
-@SOCKET
-@SETTINGS
-@JSON
+@EXPECT_OPTION
+@ID_OPTION
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_rollback(
     revision: int,
     expect: int | None,
@@ -401,35 +405,35 @@
     settings: str | None,
     as_json: bool,
 ) -> int:
-    """Make the entries those of an earlier REVISION again, by a new one."""
+    """Restore the entries of an earlier REVISION, as a new revision."""
     from willownotch.controlplane import asking
 
-    def look(path: str) -> int:
+    def action(path: str) -> int:
         found, earlier = asking.entries(path, expect), asking.entries(path, revision)
-        return changed(path, change_id, asking.toward(found, asking.kept(earlier)), as_json)
+        return submit_change(path, change_id, asking.toward(found, asking.kept(earlier)), as_json)
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("show")
 @click.argument("key", required=False)
-@click.option("--revision", type=click.IntRange(0), help="An earlier one.")
-@SOCKET
-@SETTINGS
-@JSON
+@click.option("--revision", type=click.IntRange(0), help="An earlier revision.")
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_show(
     key: str | None, revision: int | None, socket: str | None, settings: str | None, as_json: bool
 ) -> int:
     """Print all entries, as `put` reads them, or the value of KEY."""
     from willownotch.controlplane import asking, entries
 
-    def look(path: str) -> int:
+    def action(path: str) -> int:
         found = asking.entries(path, revision, key)
         if key is not None and key not in found["entries"]:
             click.echo(f"willownotch config: revision {found['revision']} has no entry {key!r}", err=True)
             return asking.REFUSED
         kept = asking.kept(found)
-        told(
+        print_result(
             found,
             as_json,
             lambda found: kept[key].decode()
@@ -441,40 +445,40 @@
         )
         return asking.DONE
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("status")
-@SOCKET
-@SETTINGS
-@JSON
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_status(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show the members, how many senders have which revision in force, and who lags or has refused one."""
     from willownotch.channel import client
     from willownotch.controlplane import shown
 
-    def look(path: str) -> int:
-        told(client.ask(path, "status"), as_json, shown.status)
+    def action(path: str) -> int:
+        print_result(client.ask(path, "status"), as_json, shown.status)
         return 0
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @config.command("history")
-@click.option("--last", type=click.IntRange(1), default=20, show_default=True, help="Commits.")
-@SOCKET
-@SETTINGS
-@JSON
+@click.option("--last", type=click.IntRange(1), default=20, show_default=True, help="Number of commits.")
+@SOCKET_OPTION
+@SETTINGS_OPTION
+@JSON_OPTION
 def config_history(last: int, socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show the last commits: revision, author, keys."""
     from willownotch.channel import client
     from willownotch.controlplane import shown
 
-    def look(path: str) -> int:
-        told(client.ask(path, "history", {"last": str(last)}), as_json, shown.history)
+    def action(path: str) -> int:
+        print_result(client.ask(path, "history", {"last": str(last)}), as_json, shown.history)
         return 0
 
-    return looked(socket, settings, look)
+    return run_at_member(socket, settings, action)
 
 
 @group.command()
@@ -486,13 +490,13 @@
     type=click.FloatRange(0, min_open=True),
     default=1.0,
     show_default=True,
-    help="Times as fast as planned.",
+    help="Speed, as a multiple of the planned one.",
 )
 @click.option(
     "--workers", type=click.IntRange(1, 255), default=1, show_default=True, help="Processes that send."
 )
 @click.option("--write-trace", metavar="FILE", help="Send nothing, write the plan as a trace.")
-@JSON
+@JSON_OPTION
 def load(
     target: str,
     settings: str | None,
@@ -502,7 +506,7 @@
     write_trace: str | None,
     as_json: bool,
 ) -> int:
-    """Send messages at the sender at TARGET (ADDRESS:PORT) on an open loop, and measure."""
+    """Send messages to the sender at TARGET (ADDRESS:PORT) in an open loop, and measure."""
     from willownotch.lab.load import command
 
     return command.main(target, settings, trace, speed, workers, as_json, write_trace)
@@ -512,7 +516,7 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.argument("to", type=click.Path(path_type=Path))
 def trace(folder: Path, to: Path) -> int:
-    """Write what a journal says was handed in as a trace."""
+    """Write the hand-ins recorded in a journal as a trace."""
     from willownotch.lab.load import command
 
     return command.export(folder, to)
@@ -520,12 +524,12 @@
 
 @group.command()
 @click.argument("scenario", required=False)
-@click.option("--policy", default="module", show_default=True, help="Who decides.")
+@click.option("--policy", default="module", show_default=True, help="The policy that decides.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--sockets", is_flag=True, help="In real time, with real senders and stand-ins on loopback.")
-@JSON
+@JSON_OPTION
 def play(scenario: str | None, policy: str, seed: int, sockets: bool, as_json: bool) -> int:
-    """Play a SCENARIO file in simulated time, a busy day without one; exit 4 if a rule was broken."""
+    """Play a SCENARIO file in simulated time, or a busy day without one; exit 4 if a rule was broken."""
     from willownotch.lab.experiment import command
 
     return command.one(scenario, policy, seed, as_json, sockets)
@@ -537,7 +541,7 @@
 @click.option("--report", metavar="FILE", help="Where the report goes (else beside the file).")
 @click.option("--workers", type=click.IntRange(1), help="Processes (else one a core).")
 def experiment(file: str, database: str | None, report: str | None, workers: int | None) -> int:
-    """Play what the experiment in FILE lacks, and write its report."""
+    """Play the missing parts of the experiment in FILE, and write its report."""
     from willownotch.lab.experiment import command
 
     return command.experiment(file, database, workers, report)
@@ -555,17 +559,17 @@
 
 
 @group.command()
-@JSON
+@JSON_OPTION
 def version(as_json: bool) -> int:
     """Print the version."""
-    told({"willownotch": __version__}, as_json, lambda v: f"willownotch {__version__}")
+    print_result({"willownotch": __version__}, as_json, lambda v: f"willownotch {__version__}")
     return 0
 
 
 def run(arguments: list[str]) -> int:
-    """Carry out one command; its exit code. A mistake on the command line is one line, and exit 2."""
+    """Run one command; its exit code. A mistake on the command line gives one line, and exit code 2."""
     if COMPLETE_VARIABLE in os.environ:
-        group.main(arguments, prog_name="willownotch", complete_var=COMPLETE_VARIABLE)  # and exits
+        group.main(arguments, prog_name="willownotch", complete_var=COMPLETE_VARIABLE)  # exits
     try:
         return group.main(arguments, prog_name="willownotch", standalone_mode=False) or 0
     except click.exceptions.NoArgsIsHelpError as fault:
