--- a/tests/test_net_sockets.py
+++ b/tests/test_net_sockets.py
@@ -346,7 +346,7 @@
         until(lambda: "again" in self.host.refs())
 
     def test_a_body_that_comes_slowly_is_taken_on_all_the_same(self):
-        """The time to answer ran from the first byte: a body that took 250 ms to arrive was always rejected."""
+        """The time to answer ran from the first byte: a body that took 250 ms to come was always rejected."""
         sender = self.sender()
         headers = [
             ("Request-Id", "a"),
