--- a/tests/test_net_sockets.py
+++ b/tests/test_net_sockets.py
@@ -60,7 +60,7 @@
         self.host.script.put((503, ()))
         first, _ = sender.hand_in("fee", key="a")
         until(lambda: self.host.refs().count(first) == 2)
-        # The connection breaks after the request's last byte: the call may have run
+        # The connection breaks after the request's last byte: the call may have run.
         self.host.script.put(None)
         second, _ = sender.hand_in("fee", key="b")
         self.assertEqual(self.noticed(second)["outcome"], "given_up")
@@ -168,7 +168,7 @@
         until(lambda: len(self.host.calls) > 1)
         sender.settled()
         self.assertEqual(self.host.connections, 2)
-        # Before the list says that the old endpoint is gone
+        # Before the list says that the old endpoint is gone.
         self.discovery.change(2, self.host, "Ready", group=8)
         until(lambda: sender.hand_in(dest=8)[1].status == 202)
         self.assertEqual(sender.hand_in(dest=7)[1].status, 503)
@@ -433,7 +433,7 @@
         until(lambda: self.host.calls)
         sender.process.send_signal(signal.SIGTERM)
         until(lambda: any("SIGTERM" in line for line in sender.lines))
-        # Less than 2 s remain of the 3.5 s until a kill: too short for a call to a new endpoint
+        # Less than 2 s remain of the 3.5 s until a kill: too short for a call to a new endpoint.
         time.sleep(1.7)
         fee, head = sender.hand_in("fee", left=15000)
         safe, _ = sender.hand_in("status")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -116,7 +116,7 @@
     assert sender.process.poll() is None, sender.lines
     sender.ready()
     assert time.monotonic() - began < READY_TIME
-    # Outstanding: it may have run, and may be repeated
+    # Outstanding: it may have run, and may be repeated.
     until(lambda: environment.host.refs().count(ref) == 2)
 
     def accepted():
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -66,7 +66,7 @@
 BYTES_PER_MB = 1_000_000
 CLOCK_FILES_BYTES = 2 * 4096  # of the folder's limit: the clock's origin, and a new file that replaces it
 SETTINGS_VARIABLE, COMPLETE_VARIABLE = "WILLOWNOTCH_SETTINGS", "_WILLOWNOTCH_COMPLETE"
-EXIT_FAULTY, EXIT_THREAD_DIED = 2, 70  # exit codes
+EXIT_FAULTY, EXIT_THREAD_DIED = 2, 70  # the first: bad configuration or command line
 
 
 class Threads:
--- a/willownotch/commands.py
+++ b/willownotch/commands.py
@@ -140,8 +140,8 @@
 
     try:
         live, _ = replay((folder / journals.NAME).read_bytes())
-        owed = [entry.message for entry in live.values() if entry.ended is None]
-        kept = show.look(folder, owed, Clock().now(), verify)
+        outstanding = [entry.message for entry in live.values() if entry.ended is None]
+        kept = show.look(folder, outstanding, Clock().now(), verify)
     except OSError as fault:
         return input_error(f"the folder cannot be read: {fault}")
     print_result(kept, as_json, show.table)
--- a/willownotch/net/client_side.py
+++ b/willownotch/net/client_side.py
@@ -40,19 +40,19 @@
 
 # A client waits 400 ms for its answer. What the decision loop has not picked up by then is rejected.
 DECISION_TIMEOUT = timedelta(milliseconds=250)
-# For a request that another process has read, and passed on late
+# For a request that another process has read, and passed on late.
 MIN_DECISION_TIMEOUT = timedelta(milliseconds=50)
 # Once the decision loop has picked a request up, its message may already be accepted: the answer is awaited.
 CLAIMED_DECISION_TIMEOUT = timedelta(seconds=5)
 IDLE_TIMEOUT = timedelta(seconds=3)  # between requests: some clients send one and never close
-# From connecting, or a later request's first byte, to its last byte
+# From connecting, or from a later request's first byte, to its last byte.
 REQUEST_READ_TIMEOUT = timedelta(seconds=2)
 LINGER_TIMEOUT, MAX_LINGER_BYTES = timedelta(milliseconds=300), 256 * 1024  # read after the last answer
 STOP_CHECK_INTERVAL = timedelta(milliseconds=25)
 # During a drain: between two looks at idle connections, and the time for a new connection's first request.
 DRAIN_CHECK_INTERVAL, DRAIN_FIRST_REQUEST_GRACE = timedelta(milliseconds=100), timedelta(milliseconds=800)
 BAD_REQUEST_DELAY, MAX_BAD_REQUEST_DELAY = timedelta(milliseconds=10), timedelta(milliseconds=500)  # doubles
-# Messages of a class removed by a reload may still be on their way
+# Messages of a class that a reload removes may still be on their way.
 REMOVED_CLASS_GRACE = timedelta(seconds=1)
 DEFAULT_RETRY_AFTER = timedelta(milliseconds=500)  # where the decision loop gives no time
 BACKLOG = 512
@@ -128,10 +128,7 @@
         self._never_set = threading.Event()  # used to sleep
 
     def apply_settings(self, config: Config) -> None:
-        """Use these settings for new requests.
-
-        Classes that they remove are accepted for a short time more.
-        """
+        """Use these settings for new requests. Classes that they remove are accepted for a short while."""
         removed = {name: rules for name, rules in self.config.rules.items() if name not in config.rules}
         if removed:
             self._removed_classes = removed, self.clock.now() + REMOVED_CLASS_GRACE
@@ -174,8 +171,7 @@
 
     @staticmethod
     def _end(client: Client, why: str = "ended here", cut: bool = False) -> None:
-        """Read no request after the current one. Shuts down an idle connection, with `cut` a reading one,
-        too.
+        """Read no request after the current one. Shut down an idle connection; with `cut` also a reading one.
 
         The caller holds the lock of all clients. Connections are shut down only here, where no byte can be
         read from them at the same time. A request that arrives at this moment is never read: its client sees
@@ -357,14 +353,13 @@
                 if (client := self._stages.idlest(self.clock.now())) is not None:
                     self._end(client, "made room", cut=True)
                     self.log.say(
-                        "crowded", f"{self.max_clients} client connections: ending the one idle for longest"
+                        "crowded", f"{self.max_clients} client connections: ending the least active one"
                     )
                 self._clients_changed.wait(seconds(SILENT_TIMEOUT) / 4)
 
     def _serve(self, client: Client, data: bytes = b"", confirm: Callable[[], bool] | None = None) -> None:
         try:
-            # Before anything is read: the previous process answers 503 unless it is told that this one serves
-            # it.
+            # Before anything is read: until it is told so, the previous process answers the request with 503.
             if confirm is not None and not confirm():
                 client.moved, client.close_reason = True, "left to the process before"
                 return
--- a/willownotch/net/listening.py
+++ b/willownotch/net/listening.py
@@ -11,8 +11,7 @@
     """A non-blocking listener that can be passed to another process. Raises `OSError` for a bad address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # Accepted connections inherit it. Without it, those still closing keep the next process off the
-        # address.
+        # Accepted connections inherit it. Without it, closing ones keep the next process off the address.
         sockets.retry_transient(
             "setsockopt", lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         )
