--- a/benchmarks/capacity/fleet_roles.py
+++ b/benchmarks/capacity/fleet_roles.py
@@ -231,7 +231,7 @@
         now = fleet.own_time(name)
         own = fleet.running[name].usage
         ages += [
-            own.lives[other].age(now) if other in own.lives else net.now
+            own.sessions[other].age(now) if other in own.sessions else net.now
             for other in (fleet.running[n].usage.own.id for n in names if n != name)
         ]
     ages = [min(age, net.now) for age in ages]
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -23,7 +23,7 @@
 from willownotch.peers.lossy import Network, Weather
 from willownotch.usage.settings import UsageSettings
 from willownotch.usage.simulated import Fleet
-from willownotch.usage.wire import Sort
+from willownotch.usage.wire import CountKind
 
 KEY = b"acme", "status"
 RATE, AGO, PATIENCE = 2.0, 2.0, 120.0  # messages a second, s, s
@@ -157,7 +157,7 @@
     while net.now < began + (MANY_S if many else seconds):
         loaded.run(net.now + 1.0)
         for name in names[:: max(1, size // 8)]:
-            interval = fleet.running[name].usage.one(fleet.own_time(name), *KEY, Sort.TAKEN)
+            interval = fleet.running[name].usage.fleet_count(fleet.own_time(name), *KEY, CountKind.TAKEN)
             errors.append(errors_of(loaded, interval.count))
             ages.append(interval.age_s)
             inside.append(interval.holds(loaded.truth[-1][1]))
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -17,10 +17,10 @@
 
 from willownotch.files.layer import REAL
 from willownotch.files.space import Space
-from willownotch.usage.book import Book
-from willownotch.usage.core import Life
+from willownotch.usage.store import CountStore
+from willownotch.usage.core import Session
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import Sort
+from willownotch.usage.wire import CountKind
 
 TICK = os.sysconf("SC_CLK_TCK")
 COUNTS = 20_000
@@ -67,13 +67,13 @@
 def count_us():
     """Microseconds of one count, its log written: the client waits for it."""
     with tempfile.TemporaryDirectory() as folder:
-        book = Book(Path(folder), REAL, Space(100_000_000), print)
-        book.begin(Life(1, "here"), Tally(20_000))
-        book.write_anew([], book.read()[1])
+        book = CountStore(Path(folder), REAL, Space(100_000_000), print)
+        book.begin(Session(1, "here"), Tally(20_000))
+        book.compact([], book.read()[1])
         took = []
         for n in range(COUNTS):
             began = time.perf_counter()
-            book.count(time.monotonic(), [(f"tenant {n % 1000}", "status", Sort.TAKEN)])
+            book.count(time.monotonic(), [(f"tenant {n % 1000}", "status", CountKind.TAKEN)])
             took.append(1e6 * (time.perf_counter() - began))
         return sorted(took)
 
--- a/tests/test_peers_story.py
+++ b/tests/test_peers_story.py
@@ -60,13 +60,13 @@
             self.incarnations.pop(name, None)
 
     def told(self, name, folder):
-        lives = {life.id: life.upto for life in folder.lives}
+        sessions = {life.id: life.upto for life in folder.sessions}
         return any(
             all(
-                i.usage.lives.get(life) is not None
-                and i.usage.lives[life].upto >= upto
-                or life in i.usage.settled.lives
-                for life, upto in lives.items()
+                i.usage.sessions.get(life) is not None
+                and i.usage.sessions[life].upto >= upto
+                or life in i.usage.settled.sessions
+                for life, upto in sessions.items()
             )
             for i in self.fleet.running.values()
         )
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -14,7 +14,7 @@
 
 from willownotch.peers.lossy import Weather
 from willownotch.peers.node import decoder
-from willownotch.usage.core import Life, Usage
+from willownotch.usage.core import Session, Usage
 from willownotch.usage.estimate import Interval, interval
 from willownotch.usage.layer import Exchanges
 from willownotch.usage.limits import allowance, share
@@ -22,7 +22,7 @@
 from willownotch.usage.settled import Settled
 from willownotch.usage.simulated import Fleet
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import Ask, Chunk, Part, Row, Sort, Tell, decode, encode
+from willownotch.usage.wire import Ask, Chunk, CountKind, Part, Row, Tell, decode, encode
 
 KEY = b"acme", "status"
 NAMES = [f"i{n}" for n in range(8)]
@@ -38,7 +38,9 @@
 
 def inside(made, key=KEY):
     """Whether each instance's interval holds the truth."""
-    return [made.running[n].usage.one(made.own_time(n), *key).holds(made.truth[key]) for n in made.running]
+    return [
+        made.running[n].usage.fleet_count(made.own_time(n), *key).holds(made.truth[key]) for n in made.running
+    ]
 
 
 @pytest.mark.parametrize(
@@ -178,12 +180,12 @@
         made.run(made.now + 2)
         made.start("i3", ("i0",), folder)
     made.settle()
-    while any(len(i.usage.lives) > 8 for i in made.running.values()):
+    while any(len(i.usage.sessions) > 8 for i in made.running.values()):
         made.run(made.now + 1)
         assert made.agreed()
         assert made.now < 300
     assert len({i.usage.settled.digest for i in made.running.values()}) == 1
-    assert all(len(i.usage.settled.lives) == 3 for i in made.running.values())
+    assert all(len(i.usage.settled.sessions) == 3 for i in made.running.values())
 
 
 def test_who_comes_new_gets_the_settled_part_in_pieces():
@@ -194,7 +196,7 @@
     folder = made.kill("i2")
     made.run(7)
     made.start("i2", ("i0",), folder)
-    while not all(len(i.usage.settled.lives) == 1 for i in made.running.values()):
+    while not all(len(i.usage.settled.sessions) == 1 for i in made.running.values()):
         made.run(made.now + 1)
         assert made.now < 200
     made.start("new", ("i0",))
@@ -215,7 +217,7 @@
     assert made.running["i5"].usage.counters["renewed"] == 1
     made.count("i5", KEY, 4)
     made.run(made.now + 60)
-    assert len(made.running["i0"].usage.settled.lives) == 1
+    assert len(made.running["i0"].usage.settled.sessions) == 1
     made.count("i5", KEY, 2)
     made.count("i1", KEY, 1)
     made.net.weather.cut = lambda a, b: False
@@ -283,7 +285,7 @@
     made = fleet(names=NAMES[:2])
     made.run(2)
     made.count("i0", KEY, 5)
-    made.count("i0", KEY, 3, Sort.DELIVERED)
+    made.count("i0", KEY, 3, CountKind.DELIVERED)
     made.settle()
     (line,) = made.running["i1"].usage.answer(made.own_time("i1")).lines
     assert [c.count for c in line.counts] == [5, 3, 0, 0, 0]
@@ -296,7 +298,7 @@
     usage = made.running["i0"].usage
     assert usage.answer(made.own_time("i0")).unheard == ()
     made.count("i0", KEY)
-    assert usage.one(made.own_time("i0"), *KEY).high < inf
+    assert usage.fleet_count(made.own_time("i0"), *KEY).high < inf
     usage._members.add("stranger")
     answer = usage.answer(made.own_time("i0"))
     assert answer.unheard == ("stranger",)
@@ -306,9 +308,9 @@
 def test_before_any_answer_nothing_is_bounded_above_unless_it_is_alone():
     made = usage()
     made.count(0.0, Row(*KEY, 1, (3, 0, 0, 0, 0)))
-    assert made.one(0.0, *KEY) == Interval(3, 3, inf)
+    assert made.fleet_count(0.0, *KEY) == Interval(3, 3, inf)
     made.lone = True
-    assert made.one(0.0, *KEY) == Interval(3, 3, 3)
+    assert made.fleet_count(0.0, *KEY) == Interval(3, 3, 3)
 
 
 def test_rates_over_windows():
@@ -341,12 +343,12 @@
 
 
 def counted(made):
-    life = made.lives.get(99)
+    life = made.sessions.get(99)
     return (life.upto, dict(life.rows)) if life else (0, {})
 
 
 steps = st.lists(
-    st.tuples(st.sampled_from([b"a", b"b", b"c"]), st.sampled_from(list(Sort)), st.integers(1, 2**58)),
+    st.tuples(st.sampled_from([b"a", b"b", b"c"]), st.sampled_from(list(CountKind)), st.integers(1, 2**58)),
     min_size=1,
     max_size=12,
 )
@@ -451,7 +453,7 @@
         for name in NAMES[:4]:
             instance = made.running[name]
             rate, others = instance.usage.rates([KEY])
-            counted = instance.usage.one(made.own_time(name), *KEY)
+            counted = instance.usage.fleet_count(made.own_time(name), *KEY)
             if allowance(limit, counted, rate, others).messages:
                 made.count(name, KEY)
         made.run(made.now + 0.05)
@@ -462,7 +464,7 @@
 
 
 amounts = st.integers(0, 3) | st.integers(0, 2**63 - 1)
-counts = st.tuples(*[amounts] * len(Sort))
+counts = st.tuples(*[amounts] * len(CountKind))
 names = st.sampled_from(["", "here", "other"])
 rows = st.builds(Row, st.sampled_from([b"acme", b"b"]), st.just("status"), amounts, counts, amounts)
 parts = st.builds(
@@ -493,7 +495,7 @@
 @given(st.lists(messages, max_size=8))
 def test_no_message_can_stop_the_counts(found):
     made, tally = usage(), Tally(10)
-    made.count(0.0, tally.count(0.0, *KEY, Sort.TAKEN, 5))
+    made.count(0.0, tally.count(0.0, *KEY, CountKind.TAKEN, 5))
     for message in found:
         assert decode(encode(message)) == message
         if isinstance(message, Tell):
@@ -503,8 +505,8 @@
         made.answer(1.0)
         if made.overdue:
             made.renew(1.0)
-    assert made.lives[made.own.id] is made.own
-    assert all(count >= 0 for sort in Sort for count in made.totals(sort).values())
+    assert made.sessions[made.own.id] is made.own
+    assert all(count >= 0 for sort in CountKind for count in made.totals(sort).values())
 
 
 @pytest.mark.parametrize(
@@ -573,7 +575,7 @@
     made._answered(now)
     asked(made, now, held)
     made.exchange(now, OTHER)
-    assert (99 in made.settled.lives) is folded
+    assert (99 in made.settled.sessions) is folded
     assert made.totals() == {KEY: 5}
 
 
@@ -582,23 +584,23 @@
     made._answered(10.0)
     asked(made, 10.0, ((99, 1),))
     made.exchange(10.0, OTHER, ["silent"])
-    assert made.settled.lives == {}
+    assert made.settled.sessions == {}
 
 
 def test_nothing_is_folded_before_anybody_answered_unless_it_is_alone():
     made = usage()
-    made.load([Life(99, "here", upto=1, rows={KEY: Row(*KEY, 1, (5, 0, 0, 0, 0))})], Settled())
+    made.load([Session(99, "here", upto=1, rows={KEY: Row(*KEY, 1, (5, 0, 0, 0, 0))})], Settled())
     made.exchange(100.0, [])
-    assert made.settled.lives == {}
+    assert made.settled.sessions == {}
     made.lone = True
     made.exchange(100.0, [])
-    assert made.settled.lives == {99: 1}
+    assert made.settled.sessions == {99: 1}
 
 
 def test_a_life_that_still_asks_is_not_over_whoever_says_so():
     made = holding()
     asked(made, 1.0, (), life=99)
-    assert not made.lives[99].closed
+    assert not made.sessions[99].closed
 
 
 def test_after_a_long_absence_nothing_held_before_is_handed_on():
@@ -633,8 +635,8 @@
     rows = Row(b"b", "status", 1, (7, 0, 0, 0, 0))
     for made in (one, other):
         made._merge(0.0, Part(98, "third", True, 0, 1, 0, (rows,)), 0.0)
-    one._fold(one.lives[99])
-    other._fold(other.lives[98])
+    one._fold(one.sessions[99])
+    other._fold(other.sessions[98])
     for made, by in ((one, other), (other, one)):
         made._take_chunk(1.0, by.settled.chunk(0, 1000))
     assert one.settled.digest == other.settled.digest
@@ -643,7 +645,7 @@
 
 def test_a_settled_part_that_lacks_a_folded_life_takes_nobody_s_place():
     made = holding()
-    made._fold(made.lives[99])
+    made._fold(made.sessions[99])
     lesser = Settled()
     lesser.fold(55, 1, [Row(b"c", "status", 1, (1, 0, 0, 0, 0))])
     made._take_chunk(1.0, lesser.chunk(0, 1000))
@@ -658,7 +660,7 @@
     made._take_chunk(1.0, theirs.chunk(0, 1000))
     assert made.overdue
     made.renew(1.0)
-    assert made.own.id not in theirs.lives
+    assert made.own.id not in theirs.sessions
 
 
 def test_an_answer_to_a_former_life_is_not_taken():
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -232,7 +232,7 @@
             config.settings.senders,
         )
         if mesh.counting is not None:
-            journal.counting = mesh.counting.counted
+            journal.counting = mesh.counting.count_messages
             mesh.counting.tenants = tuple(t.name for t in config.settings.tenants)
             mesh.counting.classes = tuple(c.name for c in config.settings.classes)
     if blocks.control.socket is not None:
@@ -448,7 +448,7 @@
 
     if mesh is not None:
         if mesh.counting is not None:
-            mesh.counting.tell = lambda parts: decision_loop.post(TenantParts(parts))
+            mesh.counting.on_quota_shares = lambda parts: decision_loop.post(TenantParts(parts))
         mesh.start(threads.start)
     if channel is not None:
         threads.start("control", channel.run)
--- a/willownotch/mesh.py
+++ b/willownotch/mesh.py
@@ -25,7 +25,7 @@
 from willownotch.peers.node import Layer, Node
 from willownotch.peers.seal import Seal
 from willownotch.peers.wire import Address
-from willownotch.usage.service import Counting
+from willownotch.usage.service import UsageService
 
 if TYPE_CHECKING:
     from willownotch.lease.service import Leases
@@ -85,7 +85,7 @@
             uid = secrets.randbits(UID_BITS)
             address = settings.advertise or self.sock.getsockname()
             membership = Membership(name, address, uid, settings, Random(secrets.randbits(64)))
-            self.counting: Counting | None = None
+            self.counting: UsageService | None = None
             layers: tuple[Layer, ...] = ()
             self.shared: SharedState | None = None
             if blocks.shared.enabled():
@@ -112,7 +112,7 @@
                 layers += (self.leases.layer,)
                 space.settle(0, 2 * BLOCK)  # its file, and the new file that replaces it
             if blocks.usage.count:
-                self.counting = Counting(
+                self.counting = UsageService(
                     blocks.usage,
                     name,
                     not settings.seeds,
@@ -182,7 +182,7 @@
         if self.keeper is not None and self.leases is not None and SWEEP_DUTY in self.blocks.lease.duty:
             start("sweep", self._sweep)
         if self.counting is not None:
-            start("usage", self.counting.keep)
+            start("usage", self.counting.run_compaction)
         host, port = self.sock.getsockname()
         self.say("peers", f"{self.edge.node.membership.name} listens for peers on {host}:{port}")
 
@@ -236,7 +236,7 @@
                 self.shared.reload(new.shared)
             if self.counting is not None:
                 self.counting.usage.settings = new.usage
-                self.counting.book.tally.most = new.usage.rows
+                self.counting.store.tally.max_rows = new.usage.rows
         self.blocks = new
         at_restart = [
             f"peers {word}"
--- a/willownotch/usage/core.py
+++ b/willownotch/usage/core.py
@@ -35,11 +35,11 @@
     NOTHING,
     Ask,
     Chunk,
+    CountKind,
     Key,
     Message,
     Part,
     Row,
-    Sort,
     Tell,
     encode,
 )
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class Session:
     """What is held of one process's counts. Rows stand in the order of their versions."""
 
     id: int
@@ -103,7 +103,7 @@
     """What an instance knows of the fleet's usage."""
 
     lines: tuple[Line, ...]
-    lives: int
+    sessions: int
     left_out: int  # lines that were not asked for: those with the lowest counts
     settled: int  # lives in the settled part
     oldest_s: float  # age of the oldest part
@@ -119,8 +119,8 @@
 
     def __init__(self, name: str, life: int, settings: UsageSettings, random: Random, now: float) -> None:
         self.name, self.settings, self.random = name, settings, random
-        self.own = Life(life, name, as_of=now)
-        self.lives: dict[int, Life] = {life: self.own}
+        self.own = Session(life, name, as_of=now)
+        self.sessions: dict[int, Session] = {life: self.own}
         self.settled = Settled()
         self.log: list[str] = []  # what an operator should hear; the caller empties it
         self.counters = {"merged": 0, "early": 0, "strange": 0, "renewed": 0, "folded": 0}
@@ -152,14 +152,14 @@
         """This process ends: it counts nothing more."""
         self.own.closed = True
 
-    def load(self, lives: Iterable[Life], settled: Settled) -> None:
+    def load(self, sessions: Iterable[Session], settled: Settled) -> None:
         """What the folder kept of former processes: their lives are over, whoever else holds more of them."""
         self.settled = settled
-        for life in lives:
-            if life.id in settled.lives or life.id in self.lives:
+        for life in sessions:
+            if life.id in settled.sessions or life.id in self.sessions:
                 continue
             life.closed, life.over_since = True, self.own.as_of
-            self.lives[life.id] = life
+            self.sessions[life.id] = life
         self._recount()
 
     # Exchange
@@ -177,7 +177,7 @@
         self._fold_all(now)
         if not peers or self.own.closed:  # an ask would show that this life goes on
             return []
-        held = sorted((life.id, life.upto) for life in self.lives.values() if not life.stale)
+        held = sorted((life.id, life.upto) for life in self.sessions.values() if not life.stale)
         parts = [held[at : at + LIVES] for at in range(0, len(held), LIVES)]
         candidate = (self._candidate.digest, self._candidate.have) if self._candidate else (0, 0)
         sends = []
@@ -222,12 +222,12 @@
     def _asked(self, now: float, ask: Ask) -> list[Tell]:
         """Answer with what is newer here, own counts first, in a few datagrams at the most."""
         self._current[ask.source] = ask.life
-        asker = self.lives.get(ask.life)
+        asker = self.sessions.get(ask.life)
         if asker is not None and asker.closed:
             # Who says that it is over has an old copy of its folder.
             asker.closed, asker.over_since = False, None
         for life, version in ask.held:
-            known = self.lives.get(life)
+            known = self.sessions.get(life)
             if known is not None and self._over(now, known):
                 self._claims.setdefault(life, {})[ask.life] = version
         tells = self._settled_for(ask)
@@ -235,7 +235,7 @@
         held = dict(ask.held)
         wanted = [
             life
-            for life in self.lives.values()
+            for life in self.sessions.values()
             if ask.low <= life.id <= ask.high and not life.stale and life.id != ask.life
         ]
         self.random.shuffle(wanted)
@@ -254,13 +254,13 @@
     def _settled_for(self, ask: Ask) -> list[Tell]:
         """The next pieces of the settled part, for who has another one."""
         mine = self.settled
-        if not mine.lives or ask.settled == mine.digest or ask.candidate == (mine.digest, mine.items()):
+        if not mine.sessions or ask.settled == mine.digest or ask.candidate == (mine.digest, mine.items()):
             return []
         tells, at = [], ask.candidate[1] if ask.candidate[0] == mine.digest else 0
         for _ in range(max(1, self.settings.pieces // 2)):
             chunk = mine.chunk(at, DATAGRAM - 100)
             tells.append(Tell(self.name, ask.life, ask.stamp, (), chunk))
-            at += len(chunk.lives) + len(chunk.rows)
+            at += len(chunk.sessions) + len(chunk.rows)
             if at >= chunk.total:
                 break
         return tells
@@ -269,15 +269,15 @@
 
     def _merge(self, now: float, part: Part, asked_at: float) -> None:
         """Take a part that joins what is held. `asked_at` is when its ask went out."""
-        if part.life in self.settled.lives or part.life == self.own.id:
+        if part.life in self.settled.sessions or part.life == self.own.id:
             return
-        life = self.lives.get(part.life)
+        life = self.sessions.get(part.life)
         if life is None:
             if not part.name:
                 return  # an answer to an ask from before it was folded or dropped
-            life = self.lives[part.life] = Life(part.life, part.name)
+            life = self.sessions[part.life] = Session(part.life, part.name)
         if life.stale:  # others have it still: what they hold counts
-            life = self.lives[part.life] = Life(part.life, life.name)
+            life = self.sessions[part.life] = Session(part.life, life.name)
             self._recount()
             self.unsaved = True
         if part.after > life.upto:
@@ -317,7 +317,7 @@
                 Series(self.settings.long_window.total_seconds()),
             )
         for each in series:
-            each.note(now, totals[Sort.TAKEN])
+            each.note(now, totals[CountKind.TAKEN])
         before = old.counts if old else NOTHING
         for place, (new, was) in enumerate(zip(row.counts, before, strict=True)):
             totals[place] += new - was
@@ -325,7 +325,7 @@
     def _recount(self) -> None:
         """The totals anew, after lives came, went or were folded by another."""
         self._totals = {key: list(counts) for key, counts in self.settled.rows.items()}
-        for life in self.lives.values():
+        for life in self.sessions.values():
             for key, row in life.rows.items():
                 self._totals[key] = list(add(tuple(self._totals.get(key, NOTHING)), row.counts))
 
@@ -333,10 +333,10 @@
 
     def _answered(self, now: float) -> None:
         self._answered_at = now
-        if self._back_at is None and any(life.stale for life in self.lives.values()):
+        if self._back_at is None and any(life.stale for life in self.sessions.values()):
             self._back_at = now
-            for life in [life for life in self.lives.values() if life.stale and life.name != self.name]:
-                del self.lives[life.id]
+            for life in [life for life in self.sessions.values() if life.stale and life.name != self.name]:
+                del self.sessions[life.id]
             self._claims.clear()
             self._recount()
 
@@ -347,7 +347,7 @@
             self.overdue = self.overdue or f"no answer for {now - self._answered_at:.0f} s"
         if self._back_at is not None and now - self._back_at > self.settings.settle.total_seconds():
             # Nobody else holds these any more.
-            for life in self.lives.values():
+            for life in self.sessions.values():
                 life.stale = False
             self._back_at = None
 
@@ -355,7 +355,7 @@
         """Take a new life, with what was counted since the own counts were last told; the rest stays with the
         old one, which is not handed on: what others hold of it counts."""
         old, why = self.own, self.overdue
-        new = Life(self.random.getrandbits(LIFE_BITS) or 1, self.name, as_of=now)
+        new = Session(self.random.getrandbits(LIFE_BITS) or 1, self.name, as_of=now)
         for key, before in self._before.items():
             row, was = old.rows[key], before.counts if before else NOTHING
             counts = tuple(n - b for n, b in zip(row.counts, was, strict=True))
@@ -366,9 +366,9 @@
                 old.rows[key] = before
         old.rows = dict(sorted(old.rows.items(), key=lambda item: item[1].version))
         old.upto, old.closed, old.over_since = self._mark, True, now
-        for life in self.lives.values():
+        for life in self.sessions.values():
             life.stale = True
-        self.own = self.lives[new.id] = new
+        self.own = self.sessions[new.id] = new
         self._before, self._mark = dict.fromkeys(new.rows), 0
         self._answered_at = self._back_at = self._candidate = None
         self.overdue, self.unsaved = "", True
@@ -377,7 +377,7 @@
 
     # Folding
 
-    def _over(self, now: float, life: Life) -> bool:
+    def _over(self, now: float, life: Session) -> bool:
         if life.closed:
             since = life.over_since if life.over_since is not None else now
             return now - since >= self.settings.settle.total_seconds()
@@ -389,7 +389,7 @@
             return  # others may hold more
         over = [
             life
-            for life in self.lives.values()
+            for life in self.sessions.values()
             if life is not self.own and not life.stale and self._over(now, life)
         ]
         if not over:
@@ -404,9 +404,9 @@
         if folded:
             self._recount()
 
-    def _fold(self, life: Life) -> None:
+    def _fold(self, life: Session) -> None:
         self.settled.fold(life.id, life.upto, life.rows.values())
-        del self.lives[life.id]
+        del self.sessions[life.id]
         self._claims.pop(life.id, None)
         self.unsaved = True
         self.counters["folded"] += 1
@@ -424,17 +424,17 @@
         ):
             self._candidate = known = Candidate(chunk.digest, chunk.total, now)
         done = known.take(now, chunk)
-        if any(number == self.own.id for number, _ in chunk.lives):
+        if any(number == self.own.id for number, _ in chunk.sessions):
             self.overdue = "the others have folded the present one"
             return
         before = self.settled.digest
-        for number, version in chunk.lives:
-            life = self.lives.get(number)
+        for number, version in chunk.sessions:
+            life = self.sessions.get(number)
             if life is not None and not life.stale and life.upto == version:
                 self._fold(life)
-        if done and self.settled.digest != known.digest and known.part.covers(self.settled.lives):
-            for number in known.part.lives:
-                self.lives.pop(number, None)
+        if done and self.settled.digest != known.digest and known.part.covers(self.settled.sessions):
+            for number in known.part.sessions:
+                self.sessions.pop(number, None)
                 self._claims.pop(number, None)
             self.settled, self._candidate, self.unsaved = known.part, None, True
         if self.settled.digest != before:
@@ -442,7 +442,7 @@
 
     # Answers
 
-    def one(self, now: float, tenant: bytes, cls: str, sort: Sort = Sort.TAKEN) -> Interval:
+    def fleet_count(self, now: float, tenant: bytes, cls: str, sort: CountKind = CountKind.TAKEN) -> Interval:
         """One count of the whole fleet."""
         return self._interval(now, (tenant, cls), sort, self.complete())
 
@@ -450,10 +450,10 @@
         """Whether all that may count have told something: else there is no upper bound to be had."""
         return (self.lone or self._answered_at is not None) and not self.unheard()
 
-    def _interval(self, now: float, key: Key, sort: Sort, complete: bool) -> Interval:
+    def _interval(self, now: float, key: Key, sort: CountKind, complete: bool) -> Interval:
         settled = self.settled.rows.get(key, NOTHING)[sort]
         found = Interval(settled, settled, settled if complete else inf)
-        for life in self.lives.values():
+        for life in self.sessions.values():
             row = life.rows.get(key)
             held = row.counts[sort] if row else 0
             if life is self.own:
@@ -462,37 +462,39 @@
                 found += interval(held, row.peak / 1000 if row else 0.0, life.age(now), self.settings.growth)
         return found
 
-    def totals(self, sort: Sort = Sort.TAKEN) -> dict[Key, int]:
+    def totals(self, sort: CountKind = CountKind.TAKEN) -> dict[Key, int]:
         """What is held of all counts, by tenant and class."""
         return {key: counts[sort] for key, counts in self._totals.items()}
 
     def unheard(self) -> tuple[str, ...]:
         """Members that may count, and of which nothing has been told yet."""
-        told = {life.name for life in self.lives.values() if not life.stale and life.as_of is not None}
+        told = {life.name for life in self.sessions.values() if not life.stale and life.as_of is not None}
         return tuple(sorted(self._members - told))
 
     def answer(self, now: float, tenant: bytes | None = None, most: int = 10**9) -> Answer:
         """All that is known, or what is known of one tenant, so many lines at the most, the highest counts
         first."""
         keys = [k for k in self._totals if tenant is None or k[0] == tenant]
-        keys.sort(key=lambda k: (-self._totals[k][Sort.TAKEN], k))
+        keys.sort(key=lambda k: (-self._totals[k][CountKind.TAKEN], k))
         left_out, keys = max(0, len(keys) - most), keys[:most]
         lines, complete = [], self.complete()
         for key in keys:
-            taken = self._totals[key][Sort.TAKEN]
+            taken = self._totals[key][CountKind.TAKEN]
             rates = [s.rate(now, taken) for s in self._series[key]] if key in self._series else [0.0, 0.0]
-            lines.append(Line(*key, tuple(self._interval(now, key, sort, complete) for sort in Sort), *rates))
-        ages = [(life.age(now), life.name) for life in self.lives.values() if life is not self.own]
+            lines.append(
+                Line(*key, tuple(self._interval(now, key, sort, complete) for sort in CountKind), *rates)
+            )
+        ages = [(life.age(now), life.name) for life in self.sessions.values() if life is not self.own]
         oldest = max(ages, default=(0.0, self.name))
         return Answer(
-            tuple(lines), len(self.lives), left_out, len(self.settled.lives), *oldest, self.unheard()
+            tuple(lines), len(self.sessions), left_out, len(self.settled.sessions), *oldest, self.unheard()
         )
 
     def rates(self, keys: Iterable[Key]) -> tuple[float, list[float]]:
         """Peak rates over some tenants and classes, messages a second: the own one, and one for each other
         instance that may still count. Of one that is there and has told nothing it is 0."""
         keys, own, others = list(keys), 0.0, [0.0] * len(self.unheard())
-        for life in self.lives.values():
+        for life in self.sessions.values():
             rate = sum(row.peak for key in keys if (row := life.rows.get(key))) / 1000
             if life is self.own:
                 own = rate
@@ -501,7 +503,7 @@
         return own, others
 
 
-def _plausible(part: Part, life: Life) -> bool:
+def _plausible(part: Part, life: Session) -> bool:
     """Whether a part could have come of counting: versions in order, and no count below the one that is
     held."""
     version = part.after
@@ -527,7 +529,7 @@
         self._parts: list[Part] = []
         self._room = DATAGRAM
 
-    def add(self, life: Life, held: int, age_ms: int | None) -> bool:
+    def add(self, life: Session, held: int, age_ms: int | None) -> bool:
         """All of a life after version `held`, -1 if nothing is held, in several parts if need be; False if
         the answer is full."""
         rows, after, name = life.after(held), max(0, held), "" if held >= 0 else life.name
--- a/willownotch/usage/service.py
+++ b/willownotch/usage/service.py
@@ -16,21 +16,21 @@
 from willownotch.channel.server import BadRequestError
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
-from willownotch.usage.book import Book
-from willownotch.usage.core import Life, Usage
+from willownotch.usage.core import Session, Usage
 from willownotch.usage.estimate import Interval
 from willownotch.usage.layer import Exchanges
 from willownotch.usage.limits import share
 from willownotch.usage.settings import UsageSettings
 from willownotch.usage.settled import Settled
+from willownotch.usage.store import CountStore
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import LIFE_BITS, Sort, tenant_key
+from willownotch.usage.wire import LIFE_BITS, CountKind, tenant_key
 
 LOOK_S = 1.0  # between two looks at whether the files want to be written anew
 TELL_S = 1.0  # between two words on parts of quotas
 NEWS = 0.02  # by which a part has to change to be told
 LINES = 1000  # of an answer, unless more are asked for
-SORTS = {sort.name.lower(): sort for sort in Sort}
+SORTS = {sort.name.lower(): sort for sort in CountKind}
 
 
 class IntervalView(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
     broken: str  # why counts are in memory only, if they are
 
 
-class Counting:
+class UsageService:
     """The counts of one sender. The edge's thread runs the state; any thread may count and ask."""
 
     def __init__(
@@ -81,49 +81,51 @@
     ) -> None:
         now = time.monotonic()
         self.say = say
-        self.book = Book(folder, files, space, say)
-        lives, settled = self.book.read()
+        self.store = CountStore(folder, files, space, say)
+        sessions, settled = self.store.read()
         self.usage = Usage(
             name, secrets.randbits(LIFE_BITS) or 1, settings, Random(secrets.randbits(64)), now
         )
         self.usage.lone = lone
-        self.usage.load([life for life in lives if life.name == name], settled)
-        former = max(lives, key=lambda life: life.upto, default=None)
-        self.book.begin(
-            Life(self.usage.own.id, name),
+        self.usage.load([life for life in sessions if life.name == name], settled)
+        former = max(sessions, key=lambda life: life.upto, default=None)
+        self.store.begin(
+            Session(self.usage.own.id, name),
             Tally(settings.rows, former=former.rows if former else None, now=now),
         )
         self.layer = Exchanges(self.usage, now)
         self.lock = threading.Lock()  # the edge's, once there is one
-        self.tell: Callable[[dict[str, float]], None] | None = None  # the decisions, of parts of quotas
+        self.on_quota_shares: Callable[[dict[str, float]], None] | None = (
+            None  # the decisions, of parts of quotas
+        )
         self.tenants: tuple[str, ...] = ()  # that have a quota
         self.classes: tuple[str, ...] = ()
         self._told: dict[str, float] = {}
         self._tell_at = now
-        self.book.write_anew(self._former(), settled)
+        self.store.compact(self._former(), settled)
 
-    def _former(self) -> list[Life]:
+    def _former(self) -> list[Session]:
         """Copies of the former lives of this name."""
         own = self.usage.own
         return [
-            Life(life.id, life.name, life.closed, life.upto, dict(life.rows))
-            for life in self.usage.lives.values()
+            Session(life.id, life.name, life.closed, life.upto, dict(life.rows))
+            for life in self.usage.sessions.values()
             if life.name == own.name and life is not own
         ]
 
-    def counted(self, messages: Iterable[tuple[str, str, str]]) -> None:
+    def count_messages(self, messages: Iterable[tuple[str, str, str]]) -> None:
         """Messages by tenant, class and what became of them, just written to the journal; any thread."""
-        self.book.count(time.monotonic(), [(tenant, cls, SORTS[what]) for tenant, cls, what in messages])
+        self.store.count(time.monotonic(), [(tenant, cls, SORTS[what]) for tenant, cls, what in messages])
 
     def before(self, now: float) -> None:
         """What the edge does first in each round: let the state know of what was counted meanwhile."""
         if self.usage.overdue:
-            with self.book.lock:
+            with self.store.lock:
                 self._drain(now)
                 self.usage.renew(now)
-                self.book.renew(self.usage.own)
+                self.store.renew(self.usage.own)
         self._drain(now)
-        if self.usage.settings.share_quotas and self.tell is not None and now >= self._tell_at:
+        if self.usage.settings.share_quotas and self.on_quota_shares is not None and now >= self._tell_at:
             self._tell_at = now + TELL_S
             self._tell_parts()
         while self.usage.log:
@@ -139,13 +141,13 @@
                 parts[tenant] = self._told[tenant] = part
                 self.say(f"the part of {tenant}'s quota here is {part:g}")
         if parts:
-            self.tell(parts)
+            self.on_quota_shares(parts)
 
     def _drain(self, now: float) -> None:
-        while not self.book.rows.empty():
-            self.usage.count(now, self.book.rows.get())
+        while not self.store.rows.empty():
+            self.usage.count(now, self.store.rows.get())
 
-    def keep(self) -> None:
+    def run_compaction(self) -> None:
         """Write the files anew where that is wanted; a thread of its own, as a disk may be slow."""
         pause = threading.Event()
         while True:
@@ -154,18 +156,18 @@
 
     def look(self) -> None:
         """One look at whether the files want to be written anew."""
-        if not (self.usage.unsaved or self.book.wants_anew()):
+        if not (self.usage.unsaved or self.store.needs_compaction()):
             return
         with self.lock:
             former = self._former()
-            settled = Settled(dict(self.usage.settled.lives), dict(self.usage.settled.rows))
+            settled = Settled(dict(self.usage.settled.sessions), dict(self.usage.settled.rows))
             self.usage.unsaved = False
-        if not self.book.write_anew(former, settled):
+        if not self.store.compact(former, settled):
             self.usage.unsaved = True
 
     def close(self) -> None:
         """The process ends; what it counted is told as final from now on."""
-        self.book.close()
+        self.store.close()
         with self.lock:
             self._drain(time.monotonic())
             self.usage.close()
@@ -189,7 +191,7 @@
             LineView(
                 line.tenant.decode("utf-8", "backslashreplace"),
                 line.cls,
-                {sort.name.lower(): _view(line.counts[sort]) for sort in Sort},
+                {sort.name.lower(): _view(line.counts[sort]) for sort in CountKind},
                 round(line.short_rate, 3),
                 round(line.long_rate, 3),
             )
@@ -199,13 +201,13 @@
             self.usage.name,
             lines,
             found.left_out,
-            found.lives,
+            found.sessions,
             found.settled,
             None if found.oldest_s == inf else round(found.oldest_s, 3),
             found.oldest,
             list(found.unheard),
             counters,
-            self.book.broken,
+            self.store.broken,
         )
 
 
--- a/willownotch/usage/settled.py
+++ b/willownotch/usage/settled.py
@@ -29,37 +29,37 @@
 class Settled:
     """The folded lives, each with the version it was folded at, and the sum of their rows."""
 
-    lives: dict[int, int] = field(default_factory=dict)
+    sessions: dict[int, int] = field(default_factory=dict)
     rows: dict[Key, Counts] = field(default_factory=dict)
     digest: int = 0  # of the lives; 0 for none
 
     def fold(self, life: int, version: int, rows: Iterable[Row]) -> None:
         """Add a life, once."""
-        if life in self.lives:
+        if life in self.sessions:
             return
-        self.lives[life] = version
+        self.sessions[life] = version
         for row in rows:
             self.rows[row.key] = add(self.rows.get(row.key, NOTHING), row.counts)
-        self.digest = digest_of(self.lives)
+        self.digest = digest_of(self.sessions)
 
     def covers(self, other: dict[int, int]) -> bool:
         """Whether all these lives are folded here, at the same versions."""
-        return all(self.lives.get(life) == version for life, version in other.items())
+        return all(self.sessions.get(life) == version for life, version in other.items())
 
     def items(self) -> int:
         """Pieces of it that travel: lives, then rows."""
-        return len(self.lives) + len(self.rows)
+        return len(self.sessions) + len(self.rows)
 
     def chunk(self, at: int, room: int) -> Chunk:
         """Its items from place `at` on, as many as fit `room` bytes. The order is the same everywhere."""
-        lives, rows = sorted(self.lives.items()), sorted(self.rows.items())
+        sessions, rows = sorted(self.sessions.items()), sorted(self.rows.items())
         some_lives, some_rows, place = [], [], at
-        while place < len(lives) + len(rows) and room > 0:
-            if place < len(lives):
-                some_lives.append(lives[place])
+        while place < len(sessions) + len(rows) and room > 0:
+            if place < len(sessions):
+                some_lives.append(sessions[place])
                 room -= LIFE_SIZE
             else:
-                (tenant, cls), counts = rows[place - len(lives)]
+                (tenant, cls), counts = rows[place - len(sessions)]
                 row = tenant, cls, counts
                 room -= len(encode(row))
                 if room < 0 and (some_rows or some_lives):
@@ -69,11 +69,11 @@
         return Chunk(self.digest, at, self.items(), tuple(some_lives), tuple(some_rows))
 
 
-def digest_of(lives: dict[int, int]) -> int:
+def digest_of(sessions: dict[int, int]) -> int:
     """A number for a set of folded lives: the same wherever the set is."""
     from xxhash import xxh3_64_intdigest
 
-    return xxh3_64_intdigest(encode(sorted(lives.items()))) >> 1 or 1
+    return xxh3_64_intdigest(encode(sorted(sessions.items()))) >> 1 or 1
 
 
 @dataclass(slots=True)
@@ -91,9 +91,9 @@
         if chunk.digest != self.digest or chunk.at != self.have or self.complete():
             return False
         self.touched = now
-        self.part.lives.update(chunk.lives)
+        self.part.sessions.update(chunk.sessions)
         self.part.rows.update({(tenant, cls): counts for tenant, cls, counts in chunk.rows})
-        self.have += len(chunk.lives) + len(chunk.rows)
+        self.have += len(chunk.sessions) + len(chunk.rows)
         self.part.digest = self.digest
         return self.complete()
 
--- a/willownotch/usage/simulated.py
+++ b/willownotch/usage/simulated.py
@@ -12,12 +12,12 @@
 
 from willownotch.peers.lossy import Network, Weather
 from willownotch.peers.settings import PeersSettings
-from willownotch.usage.core import Life, Usage
+from willownotch.usage.core import Session, Usage
 from willownotch.usage.layer import Exchanges
 from willownotch.usage.settings import UsageSettings
 from willownotch.usage.settled import Settled
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import LIFE_BITS, Key, Sort
+from willownotch.usage.wire import LIFE_BITS, CountKind, Key
 
 STEP = 0.02  # s between two looks at the load
 
@@ -26,7 +26,7 @@
 class Folder:
     """What lasts of an instance: the lives of its own name, and the settled part."""
 
-    lives: list[Life] = field(default_factory=list)
+    sessions: list[Session] = field(default_factory=list)
     settled: Settled = field(default_factory=Settled)
 
 
@@ -84,8 +84,8 @@
         )
         folder = copy.deepcopy(folder) if folder else Folder()
         usage.lone = not seeds
-        usage.load(folder.lives, folder.settled)
-        former = max(folder.lives, key=lambda life: life.upto, default=None)
+        usage.load(folder.sessions, folder.settled)
+        former = max(folder.sessions, key=lambda life: life.upto, default=None)
         self.running[name] = Instance(
             usage, Tally(self.settings.rows, former=former.rows if former else None, now=now)
         )
@@ -95,8 +95,8 @@
     def folder(self, name: str) -> Folder:
         """A copy of an instance's folder as it is now."""
         usage = self.running[name].usage
-        lives = [life for life in usage.lives.values() if life.name == usage.name]
-        return copy.deepcopy(Folder(lives, usage.settled))
+        sessions = [life for life in usage.sessions.values() if life.name == usage.name]
+        return copy.deepcopy(Folder(sessions, usage.settled))
 
     def kill(self, name: str) -> Folder:
         """SIGKILL; what its folder holds."""
@@ -114,11 +114,11 @@
         else:
             instance.next_at.pop(key, None)
 
-    def count(self, name: str, key: Key, number: int = 1, sort: Sort = Sort.TAKEN) -> None:
+    def count(self, name: str, key: Key, number: int = 1, sort: CountKind = CountKind.TAKEN) -> None:
         """Let an instance count at this moment."""
         instance, own = self.running[name], self.own_time(name)
         instance.usage.count(own, instance.tally.count(own, *key, sort, number))
-        if sort is Sort.TAKEN:
+        if sort is CountKind.TAKEN:
             self.truth[key] = self.truth.get(key, 0) + number
 
     def run(self, until: float) -> None:
--- a/willownotch/usage/book.py
+++ b/willownotch/usage/store.py
@@ -24,10 +24,10 @@
 
 from willownotch.files.layer import Files
 from willownotch.files.space import Space, round_to_blocks
-from willownotch.usage.core import Life
+from willownotch.usage.core import Session
 from willownotch.usage.settled import Settled, digest_of
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import Row, Sort, tenant_key
+from willownotch.usage.wire import CountKind, Row, tenant_key
 
 HEAD = Struct("<IQ")
 FRAME_MOST = 1 << 20  # bytes
@@ -53,7 +53,7 @@
 class SettledRecord(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """A piece of the settled part."""
 
-    lives: tuple[tuple[int, int], ...]
+    sessions: tuple[tuple[int, int], ...]
     rows: tuple[tuple[bytes, str, tuple[int, ...]], ...]
 
 
@@ -90,7 +90,7 @@
     return found, len(data) - at
 
 
-class Book:
+class CountStore:
     """Counts what it is told, writes it down, and puts the rows in a queue for the replicated state.
 
     Any thread may count.
@@ -100,7 +100,7 @@
         self.folder, self.files, self.space, self.say = folder / "usage", files, space, say
         self.rows: SimpleQueue[Row] = SimpleQueue()
         self.lock = threading.Lock()
-        self.life = Life(0, "")
+        self.life = Session(0, "")
         self.tally = Tally(0)
         self.broken = ""  # why the log is not whole: all has to be written anew
         self._file: int | None = None
@@ -110,9 +110,9 @@
 
     # Reading
 
-    def read(self) -> tuple[list[Life], Settled]:
+    def read(self) -> tuple[list[Session], Settled]:
         """Former lives of this name, and the settled part; what is damaged is said and left out."""
-        lives: dict[int, Life] = {}
+        sessions: dict[int, Session] = {}
         settled, first = Settled(), 0
         try:
             names = self.files.names(self.folder)
@@ -129,13 +129,13 @@
                 first = records[-1].log
             else:
                 self.say("the base of the counts is cut off or damaged: what can be read of it counts")
-            self._apply(records, lives, settled, contiguous=False)
+            self._apply(records, sessions, settled, contiguous=False)
         for number in logs:
             if number >= first:
-                self._apply(self._records(f"log.{number}"), lives, settled, contiguous=True)
-        settled.digest = digest_of(settled.lives) if settled.lives else 0
+                self._apply(self._records(f"log.{number}"), sessions, settled, contiguous=True)
+        settled.digest = digest_of(settled.sessions) if settled.sessions else 0
         self._number = max(self._number, first)
-        return [life for life in lives.values() if life.rows or life.closed], settled
+        return [life for life in sessions.values() if life.rows or life.closed], settled
 
     def _records(self, name: str) -> list[Record]:
         data = self.files.read_whole(self.folder / name)
@@ -146,18 +146,18 @@
         return records
 
     def _apply(
-        self, records: Iterable[Record], lives: dict[int, Life], settled: Settled, contiguous: bool
+        self, records: Iterable[Record], sessions: dict[int, Session], settled: Settled, contiguous: bool
     ) -> None:
         gaps = set()
         for record in records:
             if isinstance(record, LifeRecord):
-                life = lives.setdefault(record.id, Life(record.id, record.name))
+                life = sessions.setdefault(record.id, Session(record.id, record.name))
                 life.closed = record.closed
             elif isinstance(record, SettledRecord):
-                settled.lives.update(record.lives)
+                settled.sessions.update(record.sessions)
                 settled.rows.update({(tenant, cls): counts for tenant, cls, counts in record.rows})
-            elif isinstance(record, RowRecord) and record.life in lives:
-                life = lives[record.life]
+            elif isinstance(record, RowRecord) and record.life in sessions:
+                life = sessions[record.life]
                 for row in record.rows:
                     if row.version <= life.upto or record.life in gaps:
                         continue
@@ -172,12 +172,12 @@
 
     # Writing
 
-    def begin(self, life: Life, tally: Tally) -> None:
+    def begin(self, life: Session, tally: Tally) -> None:
         """From now on count in this life; `OSError` if the folder cannot be written."""
         self.files.make_folder(self.folder)
         self.life, self.tally = life, tally
 
-    def count(self, now: float, counted: Iterable[tuple[str, str, Sort]]) -> None:
+    def count(self, now: float, counted: Iterable[tuple[str, str, CountKind]]) -> None:
         """Count messages by tenant, class and sort, and write it down by one write. An error is said and
         kept: counts go on in memory."""
         with self.lock:
@@ -209,11 +209,11 @@
             self.say(f"counts are in memory only: {why}")
         self.broken = why
 
-    def wants_anew(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Whether all should be written anew."""
         return bool(self.broken) or self._size > LOG_MOST
 
-    def write_anew(self, lives: Iterable[Life], settled: Settled) -> bool:
+    def compact(self, sessions: Iterable[Session], settled: Settled) -> bool:
         """Begin the next log, and write a base of all before it; False, and said, if that fails.
 
         `lives` are the former lives of this name. Counting waits only while the log is changed.
@@ -233,7 +233,7 @@
             data = b"".join(
                 frame(r)
                 for r in [
-                    *(r for life in lives for r in _records_of(life)),
+                    *(r for life in sessions for r in _records_of(life)),
                     present,
                     *_pieces(self.life.id, own),
                     *_settled(settled),
@@ -283,10 +283,10 @@
             except OSError as fault:
                 self._break(f"{fault}")
 
-    def renew(self, life: Life) -> None:
+    def renew(self, life: Session) -> None:
         """Go on in another life, whose rows are the replicated state's. Hold `lock`; write anew
         afterwards."""
-        self.life, self.tally = life, Tally(self.tally.most, life.rows)
+        self.life, self.tally = life, Tally(self.tally.max_rows, life.rows)
         self.broken = "a new life has begun"
 
 
@@ -295,12 +295,15 @@
         yield RowRecord(life, tuple(rows[at : at + PIECE]))
 
 
-def _records_of(life: Life) -> Iterable[Record]:
+def _records_of(life: Session) -> Iterable[Record]:
     yield LifeRecord(life.id, life.name, life.closed)
     yield from _pieces(life.id, list(life.rows.values()))
 
 
 def _settled(settled: Settled) -> Iterable[SettledRecord]:
-    lives, rows = sorted(settled.lives.items()), [(*key, counts) for key, counts in settled.rows.items()]
-    for at in range(0, max(len(lives), len(rows)), PIECE):
-        yield SettledRecord(tuple(lives[at : at + PIECE]), tuple(rows[at : at + PIECE]))
+    sessions, rows = (
+        sorted(settled.sessions.items()),
+        [(*key, counts) for key, counts in settled.rows.items()],
+    )
+    for at in range(0, max(len(sessions), len(rows)), PIECE):
+        yield SettledRecord(tuple(sessions[at : at + PIECE]), tuple(rows[at : at + PIECE]))
--- a/willownotch/usage/tally.py
+++ b/willownotch/usage/tally.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from willownotch.usage.windows import PEAK_SLOTS, Peak
-from willownotch.usage.wire import COUNT_MOST, NOTHING, Key, Row, Sort
+from willownotch.usage.wire import COUNT_MOST, NOTHING, CountKind, Key, Row
 
 REST = b""  # the tenant that stands for all those beyond the most that are counted apart
 
@@ -19,21 +19,21 @@
 
     def __init__(
         self,
-        most: int,
+        max_rows: int,
         rows: Mapping[Key, Row] | None = None,
         former: Mapping[Key, Row] | None = None,
         now: float = 0.0,
     ) -> None:
-        self.most, self.rows = most, dict(rows or {})
+        self.max_rows, self.rows = max_rows, dict(rows or {})
         self.version = max((row.version for row in self.rows.values()), default=0)
         self._former = {key: row.peak for key, row in (former or {}).items() if row.peak}
         self._former_until = now + PEAK_SLOTS
         self._peaks: dict[Key, Peak] = {}
 
-    def count(self, now: float, tenant: bytes, cls: str, sort: Sort, number: int = 1) -> Row:
+    def count(self, now: float, tenant: bytes, cls: str, sort: CountKind, number: int = 1) -> Row:
         """Count messages of a tenant and class; the row as it is now."""
         key = tenant, cls
-        if key not in self.rows and len(self.rows) >= self.most:
+        if key not in self.rows and len(self.rows) >= self.max_rows:
             key = REST, cls
         old = self.rows.get(key)
         counts = list(old.counts if old else NOTHING)
--- a/willownotch/usage/windows.py
+++ b/willownotch/usage/windows.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from willownotch.usage.wire import Sort
+from willownotch.usage.wire import CountKind
 
 STEPS = 12  # samples that cover a span: its edge is known to a twelfth of it
 PEAK_SLOTS = 10  # seconds that a peak is remembered
@@ -49,7 +49,7 @@
         """So much was counted just now."""
         second, slots = int(now), self._slots
         if not slots or slots[-1][0] != second:
-            slots.append((second, [0] * len(Sort)))
+            slots.append((second, [0] * len(CountKind)))
         slots[-1][1][sort] += number
         while slots[0][0] <= second - PEAK_SLOTS:
             slots.popleft()
--- a/willownotch/usage/wire.py
+++ b/willownotch/usage/wire.py
@@ -11,7 +11,7 @@
 COUNT_MOST = 2**63 - 1  # what the wire carries; a count stops there rather than begin anew
 
 
-class Sort(IntEnum):
+class CountKind(IntEnum):
     """What is counted, and the place of its figure in a row."""
 
     TAKEN = 0
@@ -24,7 +24,7 @@
 Key = tuple[bytes, str]  # tenant, class
 Amount = Annotated[int, msgspec.Meta(ge=0, le=COUNT_MOST)]
 Counts = tuple[Amount, Amount, Amount, Amount, Amount]  # one for each sort
-NOTHING: Counts = (0,) * len(Sort)
+NOTHING: Counts = (0,) * len(CountKind)
 
 
 def tenant_key(name: str) -> bytes:
@@ -69,7 +69,7 @@
     digest: Amount
     at: Amount  # place of the first item
     total: Amount  # items in all
-    lives: tuple[tuple[Amount, Amount], ...] = ()
+    sessions: tuple[tuple[Amount, Amount], ...] = ()
     rows: tuple[tuple[bytes, str, Counts], ...] = ()
 
 
