--- a/benchmarks/capacity/config_baselines.py
+++ b/benchmarks/capacity/config_baselines.py
@@ -24,9 +24,9 @@
 from fleet import Counted
 
 from willownotch.peers.core import Membership, Send
-from willownotch.peers.lossy import Weather
-from willownotch.peers.node import there
-from willownotch.peers.rumours import times
+from willownotch.peers.lossy import Conditions
+from willownotch.peers.node import alive_members
+from willownotch.peers.rumours import max_transmissions
 from willownotch.peers.wire import Address
 
 PIECE = 1200  # bytes of a document in a datagram
@@ -126,9 +126,9 @@
     def tick(self, now: float, membership: Membership) -> list[Send]:
         """Pass pieces on; ask for what is missing; look now and then whether somebody has a newer one."""
         self._due, sent = now + GOSSIP_S * self.random.uniform(0.9, 1.1), []
-        others = [address for _, address in there(membership)]
+        others = [address for _, address in alive_members(membership)]
         if self.told:
-            most = times(len(others) + 1, RETRANSMIT)
+            most = max_transmissions(len(others) + 1, RETRANSMIT)
             for address in self.random.sample(others, min(FANOUT, len(others))):
                 if not self.told:
                     break
@@ -209,19 +209,19 @@
 
 def play(way: str, senders: int, size: int, loss: float, seed: int) -> dict:
     """One change, from rest to rest."""
-    net, random = Counted(seed, Weather(loss=loss, delay=0.02, jitter=0.02)), Random(seed)
+    net, random = Counted(seed, Conditions(loss=loss, delay=0.02, jitter=0.02)), Random(seed)
     if way == "rumours":
         parts = {f"m{n}": Rumoured(Random(seed * 10_000 + n)) for n in range(senders)}
         for name, part in parts.items():
             net.add(name, layers=(part,))
-        net.acquaint()
+        net.introduce_all()
         author = random.choice(sorted(parts))
     else:
         author, server = "server", Polling(None, Random(seed))
-        address = net.place(author, server)
+        address = net.add_node(author, server)
         parts = {f"m{n}": Polling(address, Random(seed * 10_000 + n)) for n in range(senders)}
         for name, part in parts.items():
-            net.place(name, part)
+            net.add_node(name, part)
         parts[author] = server
     for part in parts.values():
         part.held.put(0.0, 1, size)
--- a/benchmarks/capacity/control_socket.py
+++ b/benchmarks/capacity/control_socket.py
@@ -22,7 +22,7 @@
 
 from willownotch.channel.client import ask
 from willownotch.channel.server import Server
-from willownotch.peers.edge import PeersView, PeerView
+from willownotch.peers.transport import PeersView, PeerView
 from willownotch.shared.judgements import Row
 from willownotch.shared.service import SharedState
 from willownotch.shared.settings import SharedSettings
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -124,7 +124,7 @@
     def measured(self, span: float) -> dict[str, float]:
         """A member and second over `span` simulated seconds since `begin`."""
         gc.enable()
-        number, costs = len(self.living()), self.costs
+        number, costs = len(self.running_members()), self.costs
         each = number * span
         share = costs.layers.seconds / self.wall if self.wall else 0.0
         whole = costs.whole.seconds / each
--- a/benchmarks/capacity/fleet_roles.py
+++ b/benchmarks/capacity/fleet_roles.py
@@ -37,8 +37,8 @@
 from willownotch.lease.core import Duties
 from willownotch.lease.settings import DutySettings, LeaseSettings
 from willownotch.peers.core import Change, Membership, Send
-from willownotch.peers.edge import Edge
-from willownotch.peers.lossy import Weather
+from willownotch.peers.transport import UdpTransport
+from willownotch.peers.lossy import Conditions
 from willownotch.peers.node import Node
 from willownotch.peers.seal import Seal
 from willownotch.peers.settings import PeersSettings
@@ -71,16 +71,16 @@
 Measures = dict[str, float]
 
 
-def weather(loss: float) -> Weather:
+def conditions(loss: float) -> Conditions:
     """20 to 40 ms each way."""
-    return Weather(loss=loss, delay=0.02, jitter=0.02)
+    return Conditions(loss=loss, delay=0.02, jitter=0.02)
 
 
 def network(senders: int, loss: float, seed: int) -> Counted:
     """One for a layer. Where a membership of many would storm with loss it probes each 30 s, lest that take
     the run's time: who is suspected is still there for the layers, and what it costs is told of it alone."""
     calm = senders > MANY and loss >= 0.1
-    return Counted(seed, weather(loss), PeersSettings(period=timedelta(seconds=30)) if calm else None)
+    return Counted(seed, conditions(loss), PeersSettings(period=timedelta(seconds=30)) if calm else None)
 
 
 def sample(names: Iterable[str]) -> list[str]:
@@ -100,10 +100,10 @@
 def membership(senders: int, loss: float, seed: int) -> Measures:
     """At rest, then one is killed: until all others know."""
     span, patience = (30.0, 60.0) if senders <= MANY else (30.0, 30.0) if loss < 0.1 else (5.0, 15.0)
-    net = Counted(seed, weather(loss))
+    net = Counted(seed, conditions(loss))
     for n in range(senders):
         net.add(f"m{n}")
-    net.acquaint()
+    net.introduce_all()
     net.run(5.0)
     net.news.clear()
     net.begin()
@@ -112,7 +112,7 @@
     suspected, dead = net.count(Change.SUSPECTED), {n.name for _, _, n in net.news if n.change is Change.DIED}
     state = statistics.mean(state_bytes(net.members[name]) for name in sample(net.members)[:3])
     net.kill("m1")
-    others = [net.members[name] for name in net.living()]
+    others = [net.members[name] for name in net.running_members()]
 
     def known() -> bool:
         return all(other.members["m1"].state > State.SUSPECT for other in others)
@@ -175,22 +175,22 @@
         member = Membership(f"m{n}", sock.getsockname(), n + 1, PeersSettings(), Random(seed + n))
         node = Node(member, (layer,))
         seal = Seal(n + 1, [(1, b"k" * 32)], node.decode)
-        edges.append(Edge(sock, node, seal, 10**9, lambda line: None))
+        edges.append(UdpTransport(sock, node, seal, 10**9, lambda line: None))
         talking.append(layer)
     for n in range(2):
         talking[n].to = edges[1 - n].sock.getsockname()
-    threads = [threading.Thread(target=edge.run, args=((),), daemon=True) for edge in edges]
+    threads = [threading.Thread(target=transport.run, args=((),), daemon=True) for transport in edges]
     for thread in threads:
         thread.start()
     time.sleep(0.5)
-    span, before = 6.0, sum(edge.traffic["received"] for edge in edges)
+    span, before = 6.0, sum(transport.traffic["received"] for transport in edges)
     cpu, began = time.process_time(), time.monotonic()
     time.sleep(span)
     cpu, span = time.process_time() - cpu, time.monotonic() - began
-    came = (sum(edge.traffic["received"] for edge in edges) - before) / 2 / span
-    for edge in edges:
-        edge.stop()
-        edge.sock.close()
+    came = (sum(transport.traffic["received"] for transport in edges) - before) / 2 / span
+    for transport in edges:
+        transport.stop()
+        transport.sock.close()
     return {"datagram cpu s": cpu / 2 / span, "came": came / per_s, "span": span}
 
 
@@ -206,12 +206,12 @@
         warm, span = (20.0, 5.0) if not loss else (8.0, 3.0)
     elif rows >= 100:
         warm, span = 8.0, 3.0
-    fleet = UsageFleet(seed, weather(loss), UsageSettings())
+    fleet = UsageFleet(seed, conditions(loss), UsageSettings())
     fleet.net = net = network(senders, loss, seed)
     names = [f"m{n}" for n in range(senders)]
     for name in names:
         fleet.start(name, ("m0",) if name != "m0" else ())
-    net.acquaint()
+    net.introduce_all()
 
     def run(until: float) -> None:
         while net.now < until - 1e-9:
@@ -254,14 +254,14 @@
 def findings(senders: int, down: int, loss: float, seed: int) -> Measures:
     """Two senders find each endpoint failing, all at one moment; from there on 16 s, the last 10 at rest."""
     rest = 10.0 if senders <= MANY else 5.0
-    net, made = Counted(seed, weather(loss)), {}
+    net, made = Counted(seed, conditions(loss)), {}
     for n in range(senders):
         name = f"i{n}"
         made[name] = Judgements(name, n + 1, 5.0, 2, 0.5, 4096)
         net.add(
             name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 1000 + n), None, made[name], 0.0),)
         )
-    net.acquaint()
+    net.introduce_all()
     net.run(2.0)
     random, names = Random(seed), sorted(made)
     listed = {f"10.1.{n >> 8}.{n & 255}:443": n for n in range(down)}
@@ -347,7 +347,7 @@
         net.add(
             name, layers=(SharingLayer(name, lambda: 0.2, Random(seed * 2000 + n), made[name], None, 0.0),)
         )
-    net.acquaint()
+    net.introduce_all()
     hot = {f"tenant {t}": random.sample(sorted(made), max(1, senders // 4)) for t in range(tenants)}
     demand: dict[str, list[str]] = {}
     for tenant, names in hot.items():
@@ -409,10 +409,10 @@
         name = f"m{n}"
         made[name] = Duties(name, n + 1, asked, 0.0, Random(seed * 1000 + n))
         net.add(name, layers=(made[name],))
-    net.acquaint()
+    net.introduce_all()
 
     def held() -> bool:
-        return all(any(made[name].token(one, net.now) for name in net.living()) for one in duty)
+        return all(any(made[name].token(one, net.now) for name in net.running_members()) for one in duty)
 
     elected = patient(within(net, held, patience, 0.1), patience)
     net.begin()
--- a/benchmarks/capacity/tier_fleet.py
+++ b/benchmarks/capacity/tier_fleet.py
@@ -85,7 +85,7 @@
         for hollow in chosen(order):
             hollow.end()
 
-    def weather(order):
+    def conditions(order):
         for hollow in hollows.all:
             hollow.loss = order["loss"]
             hollow.cut = frozenset(tuple(a) for a in order["cut"].get(zones[hollow.name][0], ()))
@@ -106,7 +106,7 @@
             },
         }
 
-    does = {"begin": begin, "end": end, "weather": weather, "report": report}
+    does = {"begin": begin, "end": end, "weather": conditions, "report": report}
     threading.Thread(target=hollows.run, daemon=True).start()
     print(json.dumps({"rss_kb": rig.rss_kb(os.getpid())}), flush=True)
     for line in sys.stdin:
--- a/benchmarks/capacity/tier_simulated.py
+++ b/benchmarks/capacity/tier_simulated.py
@@ -25,7 +25,7 @@
 import slopes
 
 from willownotch.controlplane.settings import MemberSettings
-from willownotch.controlplane.simulated import MEMBERS, ZONES, Plane, Weather
+from willownotch.controlplane.simulated import MEMBERS, ZONES, Plane, Conditions
 
 ROLE, COMMAND = "tier-simulated", ".venv/bin/python benchmarks/capacity/tier_simulated.py"
 MEAN_S, TEN_S = 54.0, 5.4  # s between changes: the day's mean, ten times that
@@ -72,7 +72,7 @@
 def steady(job) -> dict:
     """Quiet, changes at the mean and at ten times the mean, with a loss."""
     senders, loss, seed = job
-    plane = Plane(seed, senders, Weather(loss), MEMBER, entries=ENTRIES)
+    plane = Plane(seed, senders, Conditions(loss), MEMBER, entries=ENTRIES)
     plane.start_all()
     settle(plane, 900.0)
     plane.run(plane.now + 15.0)
@@ -151,9 +151,9 @@
         plane.start(name)
     found["zone back"] = settle(plane, 600.0)
     plane.run(plane.now + 100.0)
-    plane.weather.cut = lambda a, b: ZONES[a] != ZONES[b]
+    plane.conditions.cut = lambda a, b: ZONES[a] != ZONES[b]
     changing(plane, CUT_S)
-    plane.weather.cut = lambda a, b: False
+    plane.conditions.cut = lambda a, b: False
     found["region"] = settle(plane, 600.0)
     found["refused"] = sum(
         n for node in plane.members() for why, n in node.core.counters.items() if why.startswith("refused")
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -27,15 +27,15 @@
     fleet = Fleet(seed, asked=LeaseSettings(electors=ELECTORS, span=span, duty={"fold": DutySettings()}))
     fleet.net.run(1.0)
     first, _ = fleet.held(30.0)
-    weather = fleet.net.weather
+    conditions = fleet.net.conditions
     if storm:
-        weather.loss, weather.delay = 0.3, 0.3
+        conditions.loss, conditions.delay = 0.3, 0.3
         fleet.net.run(fleet.net.now + 2.0)
         first, _ = fleet.held(60.0)
     old = fleet.duties[first].duties["fold"].token
     if what == "cut":
         few = {first, next(n for n in ELECTORS if n != first)}
-        weather.cut = lambda a, b: (a in few) != (b in few)
+        conditions.cut = lambda a, b: (a in few) != (b in few)
     else:
         fleet.net.kill(first)
     began = fleet.net.now
@@ -56,10 +56,10 @@
     fleet.act(second, b"new")
     fleet.net.run(fleet.net.now + 1.0)
     taken = {name for name, _, _, body in fleet.taken if body == b"new"}
-    stale = Act(first, "fold", old, 10**6, fleet.duties[first].life, 1000, b"stale")
+    stale = Act(first, "fold", old, 10**6, fleet.duties[first].uid, 1000, b"stale")
     for name in taken - {first}:
         fleet.net._post(first, fleet.net.addresses[name], stale)
-    weather.cut = lambda a, b: False
+    conditions.cut = lambda a, b: False
     fleet.net.paused.discard(first)
     fleet.net.run(fleet.net.now + 2.0)
     return took, sum(body == b"stale" for name, _, _, body in fleet.taken if name in taken)
--- a/benchmarks/peers_loss.py
+++ b/benchmarks/peers_loss.py
@@ -10,14 +10,14 @@
 from rig import write
 
 from willownotch.peers.core import Change
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Network, Conditions
 
 SECONDS, PATIENCE = 120, 300  # simulated
 
 
 def play(size, loss, seed):
     """One story: join, run, lose a member, have it back."""
-    net, names = Network(seed, Weather(loss=loss)), [f"m{n}" for n in range(size)]
+    net, names = Network(seed, Conditions(loss=loss)), [f"m{n}" for n in range(size)]
     for name in names:
         net.add(name, () if name == "m0" else ("m0",))
     net.until(lambda: net.all_know(set(names)), PATIENCE)
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -20,7 +20,7 @@
 from rig import RESULTS, write
 
 from willownotch.peers.core import Change, Send
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Network, Conditions
 from willownotch.usage.settings import UsageSettings
 from willownotch.usage.simulated import Fleet
 from willownotch.usage.wire import CountKind
@@ -77,11 +77,11 @@
 
 def membership(size, loss, seconds, seed):
     """No counts on top: where members are many, those take too long for suspicions, a death and a return."""
-    net = Network(seed, Weather(loss=loss, delay=0.005, jitter=0.005))
+    net = Network(seed, Conditions(loss=loss, delay=0.005, jitter=0.005))
     names = [f"m{n}" for n in range(size)]
     for name in names:
         net.add(name, ("m0",) if name != "m0" else ())
-    net.acquaint()
+    net.introduce_all()
     net.run(5.0)
     net.news.clear()
     net.run(net.now + seconds)
@@ -141,12 +141,12 @@
 def ours(size, loss, seconds, seed):
     """One story of the product's own way."""
     many = size > MOST_ALL
-    fleet = Fleet(seed, Weather(loss=loss, delay=0.005, jitter=0.005), UsageSettings())
+    fleet = Fleet(seed, Conditions(loss=loss, delay=0.005, jitter=0.005), UsageSettings())
     names = [f"m{n}" for n in range(size)]
     for name in names:
         fleet.start(name, ("m0",) if name != "m0" else ())
     net = fleet.net
-    net.acquaint()
+    net.introduce_all()
     loaded = Loaded(net, names, lambda name: fleet.count(name, KEY))
     loaded.run(MANY_WARM_S if many else WARM_S)
     net.news.clear()
@@ -258,10 +258,10 @@
 
 def plain(size, loss, seconds, seed, whole):
     """One story of a plain way."""
-    net, random = Network(seed, Weather(loss=loss, delay=0.005, jitter=0.005)), Random(seed)
+    net, random = Network(seed, Conditions(loss=loss, delay=0.005, jitter=0.005)), Random(seed)
     names = [f"m{n}" for n in range(size)]
     nodes = [Plain(n, size, whole, Random(random.random())) for n in range(size)]
-    addresses = [net.place(name, node) for name, node in zip(names, nodes, strict=True)]
+    addresses = [net.add_node(name, node) for name, node in zip(names, nodes, strict=True)]
     for node in nodes:
         node.addresses = addresses
 
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -18,7 +18,7 @@
 from harness import until
 
 from willownotch.peers.core import Change
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Network, Conditions
 from willownotch.shared.judgements import Judgements
 from willownotch.shared.layer import SharingLayer
 
@@ -42,15 +42,15 @@
             load.start()
         few = {f"i{n}" for n in range(MEMBERS // 2)}
         phases = [
-            ("all together", 10.0, Weather()),
-            ("halves cut apart", 30.0, Weather(cut=lambda a, b: (a in few) != (b in few))),
-            ("healed", 5.0, Weather()),
-            ("20% loss, 300 ms", 10.0, Weather(loss=0.2, delay=0.3)),
-            ("50% loss, one way deaf", 10.0, Weather(loss=0.5, cut=lambda a, b: b == "i0")),
+            ("all together", 10.0, Conditions()),
+            ("halves cut apart", 30.0, Conditions(cut=lambda a, b: (a in few) != (b in few))),
+            ("healed", 5.0, Conditions()),
+            ("20% loss, 300 ms", 10.0, Conditions(loss=0.2, delay=0.3)),
+            ("50% loss, one way deaf", 10.0, Conditions(loss=0.5, cut=lambda a, b: b == "i0")),
         ]
         marks = []
-        for what, span, weather in phases:
-            fleet.relay.weather = weather
+        for what, span, conditions in phases:
+            fleet.relay.conditions = conditions
             began = time.monotonic()
             while time.monotonic() - began < span:
                 time.sleep(0.1)
@@ -94,12 +94,12 @@
 
 def findings(number: int, loss: float) -> dict:
     """Two find an endpoint failing: until all others hold it for down, and, both gone, for nothing."""
-    net, layers = Network(5, Weather(loss=loss, delay=0.02, jitter=0.02)), {}
+    net, layers = Network(5, Conditions(loss=loss, delay=0.02, jitter=0.02)), {}
     for n in range(number):
         made = Judgements(f"i{n}", n + 1, 5.0, 2, 0.5, 4096)
         layers[f"i{n}"] = SharingLayer(f"i{n}", lambda: 0.2, Random(n), None, made, 0.0)
         net.add(f"i{n}", (), layers=(layers[f"i{n}"],))
-    net.acquaint()
+    net.introduce_all()
     net.run(2.0)
     listed, names = {"e1": 7, "e2": 7}, sorted(layers)
     for name in names[:2]:
--- a/benchmarks/usage_loopback.py
+++ b/benchmarks/usage_loopback.py
@@ -24,7 +24,7 @@
 from meshed import MeshFleet
 
 from willownotch.channel.client import AskError, ask
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 BAD = {"loss": 0.2, "delay": 0.3, "jitter": 0.02}
 PEERS = ""  # the defaults
@@ -143,24 +143,26 @@
     half = set(names[::2])
     harness.SETTINGS["orgs"].append({"name": "bolt", "quotaPerS": 50.0})
     with tempfile.TemporaryDirectory() as folder:
-        fleet = MeshFleet(chosen.senders, Path(folder), Weather(**BAD), peers=PEERS, usage="")
+        fleet = MeshFleet(chosen.senders, Path(folder), Conditions(**BAD), peers=PEERS, usage="")
         fleet.wait_joined(90)
         truth = Truth()
         loads = [Load(fleet, n, chosen.rate, truth) for n in range(chosen.senders)]
         time.sleep(10.0)
         results = {"20% loss, 300 ms": phase(fleet, truth, chosen.steady)}
 
-        def faulty(name, weather, seconds=10.0):
-            fleet.relay.weather = weather
+        def faulty(name, conditions, seconds=10.0):
+            fleet.relay.conditions = conditions
             found = phase(fleet, truth, seconds)
-            fleet.relay.weather = Weather(**BAD)
+            fleet.relay.conditions = Conditions(**BAD)
             results[name] = found + phase(fleet, truth, 5.0)
             agree(fleet, loads)
 
-        faulty("50% loss, 300 ms", Weather(**{**BAD, "loss": 0.5}))
-        faulty("halves cut apart, then healed", Weather(**BAD, cut=lambda a, b: (a in half) != (b in half)))
-        faulty("one way cut, i1 to all", Weather(**BAD, cut=lambda a, b: a == "i1"))
-        faulty("i2 cut off, rejoins with stale counts", Weather(**BAD, cut=lambda a, b: "i2" in (a, b)))
+        faulty("50% loss, 300 ms", Conditions(**{**BAD, "loss": 0.5}))
+        faulty(
+            "halves cut apart, then healed", Conditions(**BAD, cut=lambda a, b: (a in half) != (b in half))
+        )
+        faulty("one way cut, i1 to all", Conditions(**BAD, cut=lambda a, b: a == "i1"))
+        faulty("i2 cut off, rejoins with stale counts", Conditions(**BAD, cut=lambda a, b: "i2" in (a, b)))
         fleet.senders[3].process.kill()
         fleet.senders[3].process.wait()
         found = phase(fleet, truth, 3.0)
--- a/tests/meshed.py
+++ b/tests/meshed.py
@@ -23,8 +23,8 @@
 class MeshFleet:
     """Senders that are peers of each other through a relay; sender n is the member `i<n>`."""
 
-    def __init__(self, number, tmp_path, weather=None, seed=1, peers=FAST, usage=" exchange 50ms\n"):
-        self.relay = Relay(seed, weather)
+    def __init__(self, number, tmp_path, conditions=None, seed=1, peers=FAST, usage=" exchange 50ms\n"):
+        self.relay = Relay(seed, conditions)
         self.host = Host()
         self.discovery = Discovery([self.host])
         self.folder = tmp_path
--- a/tests/plane.py
+++ b/tests/plane.py
@@ -41,7 +41,7 @@
 from willownotch.controlplane.wire import VERSION, decode
 from willownotch.files.layer import Files
 from willownotch.lab.faults.net import Relay
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 from willownotch.peers.seal import Seal, read_keys
 
 KEYS = f"1 {'ab' * 32}\n"
@@ -422,7 +422,7 @@
         places=PLACES,
         followers=(),
         seed=1,
-        weather=None,
+        conditions=None,
         network=True,
         member="",
         lease="800ms",
@@ -434,7 +434,7 @@
         self.path, self.places, self.seed = Path(path), places, seed
         self.member, self.lease, self.peers, self.follow = member, lease, peers, follow or {}
         self.pace = "".join(f" {word} {span.total_seconds():g}s\n" for word, span in self.follow.items())
-        self.relay = Relay(seed, weather) if network else None
+        self.relay = Relay(seed, conditions) if network else None
         self.doors = network and doors  # before the members' addresses for followers, too
         self.keys = self.path / "keys"
         self.keys.write_text(KEYS, encoding="utf-8")
@@ -562,7 +562,7 @@
             a, b = source.partition("/")[0], target.partition("/")[0]
             return bool(a and b) and apart(a, b)
 
-        self.relay.weather = Weather(cut=between)
+        self.relay.conditions = Conditions(cut=between)
 
     def cut_off(self, names):
         """These are cut off from all others."""
@@ -573,7 +573,7 @@
         return {name for name, (other, _) in self.where.items() if other == region}
 
     def heal(self):
-        self.relay.weather = Weather()
+        self.relay.conditions = Conditions()
 
     # Changes.
 
--- a/tests/test_cold_endpoint.py
+++ b/tests/test_cold_endpoint.py
@@ -20,7 +20,7 @@
 import pytest
 
 from willownotch.lab.recovery.case import OutageKind
-from willownotch.lab.soak.plan import Action, ColdOutage, ColdPlan, Plan, Step, Weather
+from willownotch.lab.soak.plan import Action, ColdOutage, ColdPlan, Conditions, Plan, Step
 from willownotch.lab.soak.run import play
 
 SENDERS, LIMIT = 12, 60.0
@@ -43,7 +43,7 @@
         idle=0,
         endpoints=1,
         steps=tuple(Step(at, sender, action) for sender, (at, action) in zip(range(SENDERS), cycle(steps))),
-        weather=(Weather(0.0),),
+        conditions=(Conditions(0.0),),
         call_faults=(),
         clock_steps_s=(),
         cold=destination,
--- a/tests/test_controlplane_commit.py
+++ b/tests/test_controlplane_commit.py
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Weather:
+class Conditions:
     loss: float = 0.0
     double: float = 0.0
     delay: tuple[float, float] = (0.001, 0.002)
@@ -61,7 +61,7 @@
     ):
         self.random, self.pace, self.history, self.check = Random(seed), pace, history, check
         self.names = tuple(f"m{n}" for n in range(number))
-        self.now, self.weather, self.cut = 0.0, Weather(), lambda a, b: False
+        self.now, self.conditions, self.cut = 0.0, Conditions(), lambda a, b: False
         self.folders = {name: [] for name in self.names}
         self.full, self.stopped, self.uids, self.sent = set(), set(), 0, 0
         self.members, self.lease, self.wire, self.late = {}, {}, [], {name: [] for name in self.names}
@@ -129,9 +129,9 @@
             self.sent += 1
             if not self.watch(source, send.name, send.message):
                 continue
-            for _ in range(1 + (self.random.random() < self.weather.double)):
-                if self.random.random() >= self.weather.loss and not self.cut(source, send.name):
-                    at = self.now + self.random.uniform(*self.weather.delay)
+            for _ in range(1 + (self.random.random() < self.conditions.double)):
+                if self.random.random() >= self.conditions.loss and not self.cut(source, send.name):
+                    at = self.now + self.random.uniform(*self.conditions.delay)
                     heapq.heappush(
                         self.wire,
                         (at, self.sent, self.random.random(), source, send.name, ENCODE(send.message)),
@@ -868,14 +868,14 @@
 # Members that lack commits
 
 
-@pytest.mark.parametrize("weather", [Weather(), Weather(0.2, 0.2, (0.0, 0.2))])
-def test_a_member_far_behind_gets_a_document_larger_than_a_frame_in_pieces(weather):
+@pytest.mark.parametrize("conditions", [Conditions(), Conditions(0.2, 0.2, (0.0, 0.2))])
+def test_a_member_far_behind_gets_a_document_larger_than_a_frame_in_pieces(conditions):
     plane, sizes = Plane(5, history=16, seed=9), []
     plane.led("m0", 1)
     plane.kill("m4")
     for n in range(40):
         plane.put("m1", {f"k{n}": bytes([n]) * 60_000})
-    plane.weather = weather
+    plane.conditions = conditions
     plane.watch = (
         lambda source, target, message: sizes.append(len(ENCODE(message))) or True
         if isinstance(message, Piece | CommitBatch)
@@ -891,7 +891,7 @@
     assert plane.members["m4"].document.digest == plane.digests[40]
     assert plane.members["m4"].installed == 1
     assert max(sizes) < 257 * 1024
-    plane.weather = Weather()
+    plane.conditions = Conditions()
     plane.kill("m4")
     plane.start("m4")
     assert plane.members["m4"].document.revision == 40
@@ -953,7 +953,7 @@
         self.changes, self.open, self.lost, self.token = {}, {}, set(), 0
         self.racing = seed % 2  # late messages, writers that change and folders that go, rather than all else
         if self.racing:
-            self.plane.weather = Weather(0.1, 0.2, (0.0, 1.0))
+            self.plane.conditions = Conditions(0.1, 0.2, (0.0, 1.0))
         self.went = {}  # revision with which a member died, where its folder had it
 
     def emptied(self):
@@ -1064,7 +1064,7 @@
                 )
             )
         elif kind == "weather":
-            plane.weather = Weather(
+            plane.conditions = Conditions(
                 random.choice((0.0, 0.05, 0.3)),
                 random.choice((0.0, 0.3)),
                 random.choice(((0.001, 0.002), (0.001, 0.3), (0.0, 2.0))),
@@ -1081,7 +1081,7 @@
     def heal(self):
         """Faults end; one holds the lease."""
         plane = self.plane
-        plane.cut, plane.weather = lambda a, b: False, Weather()
+        plane.cut, plane.conditions = lambda a, b: False, Conditions()
         plane.full.clear()
         for name in list(plane.stopped):
             plane.go_on(name)
--- a/tests/test_controlplane_faults.py
+++ b/tests/test_controlplane_faults.py
@@ -16,7 +16,7 @@
 from harness import until
 from plane import PATIENCE, PLACES, Authors, Plane
 
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 FOLLOWERS = tuple(dict.fromkeys(PLACES)) * 2 + PLACES[:2]  # a dozen
 HISTORY = " history 16\n"
@@ -43,14 +43,21 @@
 def plane(tmp_path, tmp_path_factory):
     made = []
 
-    def make(weather=None, member=None):
+    def make(conditions=None, member=None):
         if member is None and whole:
             made.append(whole.pop())
-            made[-1].relay.weather = weather or Weather()
+            made[-1].relay.conditions = conditions or Conditions()
         else:
             path = tmp_path if member else tmp_path_factory.mktemp("plane")
             made.append(
-                Plane(path, followers=FOLLOWERS, seed=SEED, follow=FAST, weather=weather, member=member or "")
+                Plane(
+                    path,
+                    followers=FOLLOWERS,
+                    seed=SEED,
+                    follow=FAST,
+                    conditions=conditions,
+                    member=member or "",
+                )
             )
             made[-1].writer()
             made[-1].start_followers()
@@ -74,7 +81,7 @@
 
 
 def test_a_writer_stopped_in_mid_change_and_continued_has_nothing_half_in_force(plane):
-    made = plane(weather=Weather(delay=0.02))  # a change takes two ways: one is always under way
+    made = plane(conditions=Conditions(delay=0.02))  # a change takes two ways: one is always under way
     authors = Authors(made)
     before = made.last()
     until(lambda: made.last() >= before + 5, PATIENCE)
@@ -182,12 +189,15 @@
 
 
 @pytest.mark.parametrize(
-    "weather",
-    [Weather(delay=0.03, jitter=0.05, repeat=0.2), Weather(loss=0.05, delay=0.005, jitter=0.02, repeat=0.05)],
+    "conditions",
+    [
+        Conditions(delay=0.03, jitter=0.05, repeat=0.2),
+        Conditions(loss=0.05, delay=0.005, jitter=0.02, repeat=0.05),
+    ],
     ids=["delayed and doubled", "dropped"],
 )
-def test_what_is_delayed_doubled_or_dropped_makes_no_difference(plane, weather):
-    made = plane(weather=weather)
+def test_what_is_delayed_doubled_or_dropped_makes_no_difference(plane, conditions):
+    made = plane(conditions=conditions)
     before, authors = made.last(), Authors(made)
     until(lambda: made.last() >= before + 20, 2 * PATIENCE)
     made.heal()
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -16,7 +16,7 @@
 from willownotch.controlplane.rate import Rate
 from willownotch.controlplane.serving import ARRIVED_S, REMEMBERED, Serving
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
-from willownotch.controlplane.simulated import MEMBERS, ZONES, Plane, Weather
+from willownotch.controlplane.simulated import MEMBERS, ZONES, Conditions, Plane
 from willownotch.controlplane.wire import (
     DATAGRAM,
     Counts,
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize(("loss", "repeat", "jitter"), [(0.0, 0.0, 0.003), (0.05, 0.1, 0.5), (0.3, 0.3, 0.5)])
 def test_each_change_comes_in_force_everywhere_in_order(loss, repeat, jitter):
-    plane = Plane(1, 30, Weather(loss, jitter=jitter, repeat=repeat), entries=100)
+    plane = Plane(1, 30, Conditions(loss, jitter=jitter, repeat=repeat), entries=100)
     plane.start_all()
     for _ in range(12):
         plane.run(plane.now + 2.0)
@@ -153,7 +153,7 @@
 
 def test_the_same_seed_gives_the_same_story():
     def story():
-        plane = Plane(5, 20, Weather(0.2, repeat=0.1, jitter=0.2), entries=50)
+        plane = Plane(5, 20, Conditions(0.2, repeat=0.1, jitter=0.2), entries=50)
         plane.start_all()
         for _ in range(4):
             plane.run(plane.now + 3.0)
@@ -187,7 +187,7 @@
     plane = Plane(4, 30, entries=20)
     plane.start_all()
     plane.run(10.0)
-    plane.weather.cut = lambda a, b: ZONES[a] != ZONES[b]
+    plane.conditions.cut = lambda a, b: ZONES[a] != ZONES[b]
     revision = plane.change()
     plane.run(40.0)
     west = [node for node in plane.followers() if ZONES[node.zone] == "west"]
@@ -197,7 +197,7 @@
     assert all(ZONES[MEMBERS[node.core.member]] == "west" for node in west)  # served, if by old word
     assert all(25.0 < node.core.unheard_s(plane.now) < 35.0 for node in west)
     assert all(node.core.unheard_s(plane.now) < 5.0 for node in east)
-    plane.weather.cut = lambda a, b: False
+    plane.conditions.cut = lambda a, b: False
     plane.until(lambda: plane.in_force(revision), 11.0)
     plane.run(plane.now + 5.0)
     assert all(node.core.unheard_s(plane.now) < 5.0 for node in west)
@@ -266,7 +266,7 @@
 
 
 def test_a_whole_copy_outlives_loss_changes_and_its_member():
-    plane = Plane(9, 1, Weather(0.2, repeat=0.1, jitter=0.1), entries=3000)
+    plane = Plane(9, 1, Conditions(0.2, repeat=0.1, jitter=0.1), entries=3000)
     plane.start_all(empty=True)
     plane.until(lambda: len(plane.nodes["s0"].core._buckets) > 800, 60)
     for _ in range(3):
@@ -300,7 +300,7 @@
 
 
 def test_a_large_change_is_fetched_in_pieces():
-    plane = Plane(11, 5, Weather(0.1, repeat=0.1, jitter=0.1))
+    plane = Plane(11, 5, Conditions(0.1, repeat=0.1, jitter=0.1))
     plane.start_all()
     plane.run(5.0)
     plane.change(size=30_000)
--- a/tests/test_controlplane_member.py
+++ b/tests/test_controlplane_member.py
@@ -22,7 +22,7 @@
 from willownotch.controlplane.commit import Outcome, Result, Stage
 from willownotch.controlplane.document import Change, Commit, Document
 from willownotch.controlplane.member import LINK_VERSION, Member, Waiter
-from willownotch.links.edge import MOST
+from willownotch.links.transport import MAX_FRAME_BYTES
 from willownotch.peers.seal import Seal, read_keys
 
 
@@ -311,7 +311,7 @@
     keys = read_keys(plane.keys.read_text())
 
     def sealed(message, version=LINK_VERSION, keys=keys):
-        data = Seal(88, keys, version=version, most=MOST).close(message)
+        data = Seal(88, keys, version=version, most=MAX_FRAME_BYTES).close(message)
         return pack("!I", len(data)) + data
 
     class Strange(msgspec.Struct, array_like=True):
@@ -321,7 +321,7 @@
     for data in (
         b"\0\0",
         pack("!I", 100) + b"x",
-        pack("!I", MOST + 1),
+        pack("!I", MAX_FRAME_BYTES + 1),
         pack("!I", 5) + b"abcde",
         sealed(Strange("m1", "x")),
         sealed(Strange("m1", "x"), 17),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -12,10 +12,10 @@
 
 from willownotch.files.layer import REAL
 from willownotch.lease.core import Act, Duties, Stage
-from willownotch.lease.register import Grant, Wanted, decide
+from willownotch.lease.register import Grant, GrantRequest, decide
 from willownotch.lease.service import Leases
 from willownotch.lease.settings import DutySettings, LeaseSettings
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Conditions, Network
 from willownotch.peers.settings import PeersSettings
 
 ELECTORS = tuple(f"m{n}" for n in range(5))
@@ -33,14 +33,14 @@
 @pytest.mark.parametrize(
     ("grant", "now", "wanted", "granted"),
     [
-        (None, 0.0, Wanted(1, "a", 1, 1.0), True),
-        (Grant(1, "a", 1, 1.0), 0.5, Wanted(2, "b", 2, 1.0), False),  # the lease runs
-        (Grant(1, "a", 1, 1.0), 1.0, Wanted(2, "b", 2, 1.0), True),
-        (Grant(1, "a", 1, 1.0), 5.0, Wanted(1, "b", 2, 1.0), False),  # one holder a token
-        (Grant(1, "a", 1, 1.0), 0.5, Wanted(1, "a", 9, 1.0), False),  # another process under the name
-        (Grant(2, "b", 2, 1.0), 5.0, Wanted(1, "a", 1, 1.0), False),  # an old token
-        (Grant(1, "a", 1, 1.0), 0.5, Wanted(1, "a", 1, 1.0), True),  # renewed
-        (Grant(1, "a", 1, 1.0, True), 5.0, Wanted(2, "a", 1, 1.0), False),  # over for good
+        (None, 0.0, GrantRequest(1, "a", 1, 1.0), True),
+        (Grant(1, "a", 1, 1.0), 0.5, GrantRequest(2, "b", 2, 1.0), False),  # the lease runs
+        (Grant(1, "a", 1, 1.0), 1.0, GrantRequest(2, "b", 2, 1.0), True),
+        (Grant(1, "a", 1, 1.0), 5.0, GrantRequest(1, "b", 2, 1.0), False),  # one holder a token
+        (Grant(1, "a", 1, 1.0), 0.5, GrantRequest(1, "a", 9, 1.0), False),  # another process under the name
+        (Grant(2, "b", 2, 1.0), 5.0, GrantRequest(1, "a", 1, 1.0), False),  # an old token
+        (Grant(1, "a", 1, 1.0), 0.5, GrantRequest(1, "a", 1, 1.0), True),  # renewed
+        (Grant(1, "a", 1, 1.0, True), 5.0, GrantRequest(2, "a", 1, 1.0), False),  # over for good
     ],
 )
 def test_who_is_granted(grant, now, wanted, granted):
@@ -48,15 +48,15 @@
 
 
 def test_an_overtaken_renewal_shortens_nothing_and_a_release_ends_at_once():
-    assert decide(Grant(1, "a", 1, 2.0), 0.1, Wanted(1, "a", 1, 1.0)).until == 2.0
-    assert decide(Grant(1, "a", 1, 2.0), 0.1, Wanted(1, "a", 1, 1.0, release=True)).until == 0.1
+    assert decide(Grant(1, "a", 1, 2.0), 0.1, GrantRequest(1, "a", 1, 1.0)).until == 2.0
+    assert decide(Grant(1, "a", 1, 2.0), 0.1, GrantRequest(1, "a", 1, 1.0, release=True)).until == 0.1
 
 
 class Fleet:
     """Members with one duty, their folders, and what was taken where."""
 
-    def __init__(self, seed, number=5, weather=None, asked=ASKED):
-        self.net, self.asked, self.seed = Network(seed, weather or Weather(), PEERS), asked, seed
+    def __init__(self, seed, number=5, conditions=None, asked=ASKED):
+        self.net, self.asked, self.seed = Network(seed, conditions or Conditions(), PEERS), asked, seed
         self.folders = {f"m{n}": {} for n in range(number)}
         self.taken, self.duties, self.lives = [], {}, 0
         for n in range(number):
@@ -68,8 +68,8 @@
         self.lives += 1
         offset = self.net.offsets.get(name, 7.0 * self.lives)
 
-        def keep(duty, token, holder, life):
-            folder[duty, bool(holder)] = token, holder, life
+        def keep(duty, token, holder, uid):
+            folder[duty, bool(holder)] = token, holder, uid
             return True
 
         random = Random(self.lives * 100 + self.seed)
@@ -91,7 +91,9 @@
         return self.net.now + self.net.offsets[name]
 
     def holders(self):
-        return [n for n in self.net.living() if self.duties[n].token("fold", self.own(n)) is not None]
+        return [
+            n for n in self.net.running_members() if self.duties[n].token("fold", self.own(n)) is not None
+        ]
 
     def act(self, name, body=b"x"):
         return self.duties[name].act(self.own(name), "fold", body)
@@ -125,7 +127,7 @@
     fleet = Fleet(3)
     first, _ = fleet.held()
     few = {first, next(n for n in ELECTORS if n != first)}
-    fleet.net.weather.cut = lambda a, b: (a in few) != (b in few)
+    fleet.net.conditions.cut = lambda a, b: (a in few) != (b in few)
     fleet.net.run(fleet.net.now + 1.0)  # its lease is over
     second, _ = fleet.held()
     assert second not in few
@@ -133,7 +135,7 @@
         fleet.net.run(fleet.net.now + 0.05)
         assert not set(fleet.holders()) & few
         assert len(fleet.holders()) <= 1
-    fleet.net.weather.cut = lambda a, b: False
+    fleet.net.conditions.cut = lambda a, b: False
     fleet.net.run(fleet.net.now + 5.0)
     assert len(fleet.holders()) == 1
 
@@ -142,7 +144,7 @@
     fleet = Fleet(4)
     first, _ = fleet.held()
     old = fleet.duties[first].duties["fold"].token
-    stale = Act(first, "fold", old, 99, fleet.duties[first].life, 1000, b"stale")
+    stale = Act(first, "fold", old, 99, fleet.duties[first].uid, 1000, b"stale")
     fleet.net.kill(first)  # stopped
     second, _ = fleet.held()
     fleet.act(second)
@@ -206,7 +208,7 @@
     fleet, stopped = Fleet(seed), set()
     fleet.net.run(2.0)
     for what, n in moves:
-        name, weather = f"m{n}", fleet.net.weather
+        name, conditions = f"m{n}", fleet.net.conditions
         if what in ("kill", "stop"):
             fleet.net.kill(name)
             stopped |= {name} if what == "stop" else set()
@@ -214,11 +216,11 @@
             fleet.net.paused.discard(name)
             fleet.net._carry(name, fleet.net.nodes[name].tick(fleet.own(name)))
         elif what == "cut":
-            weather.cut = lambda a, b, n=n: (int(a[1]) > n) != (int(b[1]) > n)
+            conditions.cut = lambda a, b, n=n: (int(a[1]) > n) != (int(b[1]) > n)
         elif what == "heal":
-            weather.cut, weather.loss, weather.delay = (lambda a, b: False), 0.0, 0.001
+            conditions.cut, conditions.loss, conditions.delay = (lambda a, b: False), 0.0, 0.001
         elif what == "storm":
-            weather.loss, weather.delay, weather.repeat = 0.3, 0.3, 0.1
+            conditions.loss, conditions.delay, conditions.repeat = 0.3, 0.3, 0.1
         elif what == "restart" and name in fleet.net.paused:
             stopped.discard(name)
             fleet.start(name, tuple(k for k in ELECTORS if k != name))
--- a/tests/test_lease_sockets.py
+++ b/tests/test_lease_sockets.py
@@ -13,7 +13,7 @@
 from meshed import MeshFleet
 
 from willownotch.channel.client import ask
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 PATIENCE = 20.0
 MEMBERS = 5
@@ -109,13 +109,13 @@
     first = fleet.held()
     few = {first, (first + 1) % MEMBERS}
     names = {f"i{n}" for n in few}
-    fleet.relay.weather = Weather(cut=lambda a, b: (a in names) != (b in names))
+    fleet.relay.conditions = Conditions(cut=lambda a, b: (a in names) != (b in names))
     until(lambda: not set(fleet.holders()) & few, PATIENCE)
     second = fleet.held()
     assert second not in few
     until(lambda: any(fleet.acts_of(n, second) for n in range(MEMBERS) if n not in few), PATIENCE)
     assert not set(fleet.holders()) & few
-    fleet.relay.weather = Weather()
+    fleet.relay.conditions = Conditions()
     fleet.wait_joined(PATIENCE)
     until(lambda: len({fleet.duty(n)["holder"] for n in range(MEMBERS)} - {""}) == 1, PATIENCE)
     assert len(fleet.holders()) == 1
@@ -142,7 +142,7 @@
 
 def test_through_loss_and_delay_the_duty_is_never_long_without_a_holder(leasing):
     fleet = leasing()
-    fleet.relay.weather = Weather(loss=0.3, delay=0.15, jitter=0.05)
+    fleet.relay.conditions = Conditions(loss=0.3, delay=0.15, jitter=0.05)
     first = fleet.held()
     fleet.kill(first)
     second = fleet.held([n for n in range(MEMBERS) if n != first])
--- a/tests/test_mesh_sockets.py
+++ b/tests/test_mesh_sockets.py
@@ -17,7 +17,7 @@
 from meshed import KEYS, MeshFleet
 
 from willownotch.channel.client import AskError, ask
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 
 def test_each_sender_counts_the_messages_accepted_and_delivered_by_all(new_fleet):
-    fleet = new_fleet(3, weather=Weather(loss=0.2, jitter=0.02, repeat=0.1))
+    fleet = new_fleet(3, conditions=Conditions(loss=0.2, jitter=0.02, repeat=0.1))
     for n, sender in enumerate(fleet.senders):
         for _ in range(n + 2):
             assert sender.hand_in("status")[1].status == 202
@@ -54,7 +54,7 @@
 
 
 def test_a_restart_with_an_old_or_empty_state_folder_loses_no_count(new_fleet, tmp_path):
-    fleet = new_fleet(3, weather=Weather(loss=0.2))
+    fleet = new_fleet(3, conditions=Conditions(loss=0.2))
     sender = fleet.senders[1]
 
     def replace_state(folder=None):
@@ -97,11 +97,11 @@
 
 def test_a_sender_that_is_cut_off_is_marked_dead_with_a_reason_and_joins_again(new_fleet):
     fleet = new_fleet(2)
-    fleet.relay.weather = Weather(cut=lambda a, b: True)
+    fleet.relay.conditions = Conditions(cut=lambda a, b: True)
     until(lambda: ask(fleet.socket(0), "peers")["members"][0]["state"] == "dead")
     assert "not refuted" in ask(fleet.socket(0), "peers")["members"][0]["why"]
     fleet.senders[1].hand_in("status")
-    fleet.relay.weather = Weather()
+    fleet.relay.conditions = Conditions()
     fleet.wait_joined().wait_counted(1)
 
 
@@ -250,7 +250,7 @@
         "import sys, willownotch.cli; "
         "print([m for m in sys.modules if m in ('blake3', 'xxhash', 'lark') or "
         "m.startswith('willownotch.peers.core') or m.startswith('willownotch.usage.core') or "
-        "m in ('willownotch.replica.core', 'willownotch.replica.service', 'willownotch.links.edge')])"
+        "m in ('willownotch.replica.core', 'willownotch.replica.service', 'willownotch.links.transport')])"
     )
     found = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, timeout=harness.PATIENCE
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,22 +9,22 @@
 from hypothesis import strategies as st
 
 from willownotch.peers import seal
-from willownotch.peers.core import DATAGRAM, Change, Membership, News, Send
-from willownotch.peers.edge import Budget, Edge
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.core import MAX_MESSAGE_BYTES, Change, Membership, MembershipEvent, Send
+from willownotch.peers.lossy import Conditions, Network
 from willownotch.peers.node import Node
-from willownotch.peers.rumours import Rumours, times
+from willownotch.peers.rumours import Rumours, max_transmissions
 from willownotch.peers.seal import KeysError, Seal, Seen, read_keys
 from willownotch.peers.settings import PeersSettings
+from willownotch.peers.transport import Budget, UdpTransport
 from willownotch.peers.wire import Ping, Rumour, State, Sync, decode, encode
 
 NAMES = [f"m{n}" for n in range(8)]
 ALL = set(NAMES)
 
 
-def joined(seed=1, weather=None, names=NAMES, most=120.0):
+def joined(seed=1, conditions=None, names=NAMES, most=120.0):
     """A network whose members all know each other, from one seed member."""
-    net = Network(seed, weather)
+    net = Network(seed, conditions)
     for name in names:
         net.add(name, (names[0],) if name != names[0] else ())
     net.until(lambda: net.all_know(set(names)), most)
@@ -47,7 +47,7 @@
     ],
 )
 def test_members_find_each_other_and_learn_of_a_death_and_a_return(loss, delay, repeat):
-    net = joined(weather=Weather(loss, delay, 0.05, repeat))
+    net = joined(conditions=Conditions(loss, delay, 0.05, repeat))
     net.kill("m3")
     net.until(lambda: net.all_know(ALL - {"m3"}), 120)
     assert {name for _, name in deaths(net)} == {"m3"}  # and of nobody else
@@ -63,20 +63,20 @@
 
 @pytest.mark.parametrize("loss", [0.1, 0.2, 0.3])
 def test_nobody_dies_of_loss_alone(loss):
-    net = joined(weather=Weather(loss=loss))
+    net = joined(conditions=Conditions(loss=loss))
     net.run(net.now + 120)
     assert deaths(net) == []
 
 
 def test_half_of_all_lost_and_they_still_find_each_other():
-    net = joined(weather=Weather(loss=0.5), most=300)
-    net.weather.loss = 0.0
+    net = joined(conditions=Conditions(loss=0.5), most=300)
+    net.conditions.loss = 0.0
     net.until(lambda: net.all_know(ALL), 120)
 
 
 def test_a_partition_into_halves_heals_by_itself():
     net, half = joined(), set(NAMES[:4])
-    net.weather.cut = lambda a, b: (a in half) != (b in half)
+    net.conditions.cut = lambda a, b: (a in half) != (b in half)
     net.until(
         lambda: all(
             {m.name for m in net.members[n].alive()} | {n} == (half if n in half else ALL - half)
@@ -85,14 +85,14 @@
         300,
     )
     net.run(net.now + 60)
-    net.weather.cut = lambda a, b: False
+    net.conditions.cut = lambda a, b: False
     net.until(lambda: net.all_know(ALL), 120)
 
 
 def test_a_one_way_link_is_gone_round():
     """m1 hears m2 and cannot be heard by it: the others ask for it."""
     net = joined()
-    net.weather.cut = lambda a, b: (a, b) == ("m1", "m2")
+    net.conditions.cut = lambda a, b: (a, b) == ("m1", "m2")
     net.run(net.now + 120)
     assert deaths(net) == []
 
@@ -100,7 +100,7 @@
 def test_who_is_cut_off_blames_itself_before_others():
     """It hears nothing and takes its spans longer, so it declares the others dead later than they do it."""
     net = joined()
-    net.weather.cut = lambda a, b: "m5" in (a, b)
+    net.conditions.cut = lambda a, b: "m5" in (a, b)
     net.until(
         lambda: net.all_know(ALL - {"m5"})
         or all("m5" not in {m.name for m in net.members[n].alive()} for n in NAMES if n != "m5"),
@@ -125,7 +125,7 @@
 
 def test_a_quick_restart_is_the_same_name_with_a_new_process():
     """Back before anybody missed it, with nothing in hand and an incarnation of 0."""
-    net = joined(weather=Weather(loss=0.1))
+    net = joined(conditions=Conditions(loss=0.1))
     for _ in range(3):
         back = net.add("m3", ("m0",))
         net.until(
@@ -146,9 +146,9 @@
 def test_two_halves_find_each_other_though_their_only_seed_is_gone_for_good():
     net = joined(names=NAMES[:3])
     net.kill("m0")
-    net.weather.cut = lambda a, b: {a, b} == {"m1", "m2"}
+    net.conditions.cut = lambda a, b: {a, b} == {"m1", "m2"}
     net.until(lambda: all(not net.members[n].alive() for n in ("m1", "m2")), 600)
-    net.weather.cut = lambda a, b: False
+    net.conditions.cut = lambda a, b: False
     net.until(lambda: net.all_know({"m1", "m2"}), 60)
 
 
@@ -165,7 +165,7 @@
 def test_the_same_seed_tells_the_same_story():
     stories = []
     for _ in range(2):
-        net = joined(seed=7, weather=Weather(loss=0.3))
+        net = joined(seed=7, conditions=Conditions(loss=0.3))
         net.run(net.now + 30)
         stories.append([(at, who, news) for at, who, news in net.news])
     assert stories[0] == stories[1] != []
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize(("members", "often"), [(1, 4), (9, 4), (10, 8), (99, 8), (1000, 16)])
 def test_how_often_grows_with_the_logarithm(members, often):
-    assert times(members, 4) == often
+    assert max_transmissions(members, 4) == often
 
 
 @given(st.lists(st.tuples(st.text(max_size=60), st.integers(0, 2**40)), max_size=200))
@@ -219,7 +219,7 @@
     for at in range(0, 300, 20):
         sent += member.receive(1.0, ("10.0.0.1", 2), Sync("x", at == 280, whole[at : at + 20]))
     pieces = [a.message for a in sent if isinstance(a, Send)]
-    assert all(len(encode(p)) <= DATAGRAM for p in pieces)
+    assert all(len(encode(p)) <= MAX_MESSAGE_BYTES for p in pieces)
     assert {r.name for p in pieces for r in p.rumours} >= {r.name for r in whole}
 
 
@@ -252,7 +252,7 @@
         for other, (old_uid, old) in before.items():
             held = member.members[other]
             assert held.uid != old_uid or held.incarnation >= old
-        assert all(isinstance(n, News | Send) for n in news)
+        assert all(isinstance(n, MembershipEvent | Send) for n in news)
 
 
 # Datagrams
@@ -378,8 +378,8 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         member = Membership("m0", sock.getsockname(), 1, PeersSettings(), Random(1))
-        edge = Edge(sock, Node(member), Seal(1, [(1, bytes(32))]), 100, lambda text: None)
-        edge._carry([Send(sock.getsockname(), Ping(1, "m1", "m0"))] * 10)
-        assert edge.traffic["sent"] + edge.traffic["over budget"] == 10
-        assert edge.traffic["sent bytes"] <= 100
-        assert edge.traffic["sent"] > 0
+        transport = UdpTransport(sock, Node(member), Seal(1, [(1, bytes(32))]), 100, lambda text: None)
+        transport._carry([Send(sock.getsockname(), Ping(1, "m1", "m0"))] * 10)
+        assert transport.traffic["sent"] + transport.traffic["over budget"] == 10
+        assert transport.traffic["sent bytes"] <= 100
+        assert transport.traffic["sent"] > 0
--- a/tests/test_peers_story.py
+++ b/tests/test_peers_story.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Conditions, Network
 from willownotch.peers.settings import PeersSettings
 from willownotch.peers.wire import State
 from willownotch.usage.layer import Exchanges
@@ -26,7 +26,7 @@
     def __init__(self):
         super().__init__()
         self.fleet = Fleet(
-            1, Weather(), UsageSettings(settle=timedelta(seconds=20), gone=timedelta(hours=1)), QUICK
+            1, Conditions(), UsageSettings(settle=timedelta(seconds=20), gone=timedelta(hours=1)), QUICK
         )
         self.folders, self.incarnations, self.held = {}, {}, {}
         for name in NAMES:
@@ -73,19 +73,19 @@
 
     @rule(half=st.sets(names, min_size=1, max_size=4))
     def the_network_is_cut(self, half):
-        self.net.weather.cut = lambda a, b: (a in half) != (b in half)
+        self.net.conditions.cut = lambda a, b: (a in half) != (b in half)
 
     @rule(one=names, other=names)
     def one_direction_fails(self, one, other):
-        self.net.weather.cut = lambda a, b: (a, b) == (one, other)
+        self.net.conditions.cut = lambda a, b: (a, b) == (one, other)
 
     @rule()
     def the_network_heals(self):
-        self.net.weather.cut = lambda a, b: False
+        self.net.conditions.cut = lambda a, b: False
 
     @rule(loss=st.sampled_from([0.0, 0.2, 0.5]))
     def datagrams_are_lost(self, loss):
-        self.net.weather.loss = loss
+        self.net.conditions.loss = loss
 
     @rule(name=names, number=st.integers(1, 1000))
     def one_counts(self, name, number):
@@ -113,7 +113,7 @@
 
     def teardown(self):
         """Whatever happened: with the network well again all know just who is there, and all counts."""
-        self.net.weather.cut, self.net.weather.loss = lambda a, b: False, 0.0
+        self.net.conditions.cut, self.net.conditions.loss = lambda a, b: False, 0.0
         for name in list(self.folders):
             self.one_comes_back(name, True)
         there = set(self.fleet.running)
--- a/tests/test_replica_parts.py
+++ b/tests/test_replica_parts.py
@@ -12,7 +12,7 @@
 from willownotch.files.layer import REAL
 from willownotch.files.space import Space
 from willownotch.journal.records import AcceptedMessage, Custody, MessageEnded, RelayStarted, frame
-from willownotch.links.edge import MOST
+from willownotch.links.transport import MAX_FRAME_BYTES
 from willownotch.peers.seal import Seal
 from willownotch.replica import copies, core, wire
 from willownotch.replica.books import Follower, Owned, Stage
@@ -141,7 +141,7 @@
 
 def test_frames_of_another_kind_a_repeat_and_noise_are_refused():
     keys = [(1, b"k" * 32)]
-    one, other = (Seal(uid, keys, wire.decode, wire.VERSION, MOST) for uid in (1, 2))
+    one, other = (Seal(uid, keys, wire.decode, wire.VERSION, MAX_FRAME_BYTES) for uid in (1, 2))
     data = one.close(wire.Close("a", "book", 1))
     assert other.open(data) == wire.Close("a", "book", 1)
     assert other.open(data) is None
--- a/tests/test_replica_sockets.py
+++ b/tests/test_replica_sockets.py
@@ -12,7 +12,7 @@
 from custodial import PATIENCE, Custodial
 from harness import ROOT, until
 
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 
 @pytest.fixture
@@ -90,12 +90,12 @@
 def test_a_cut_between_holder_and_the_others_leaves_one_that_acts(custodial):
     fleet = custodial()
     refs = fleet.take(0, 4)
-    fleet.relay.weather = Weather(cut=lambda a, b: (a == "i0") != (b == "i0"))
+    fleet.relay.conditions = Conditions(cut=lambda a, b: (a == "i0") != (b == "i0"))
     until(fleet.took, PATIENCE)
     assert fleet.senders[0].hand_in()[1].status == 503  # it can promise nothing now
     fleet.serve()  # the host can be reached by all
     until(lambda: len(fleet.host.calls) == len(refs), PATIENCE)
-    fleet.relay.weather = Weather()
+    fleet.relay.conditions = Conditions()
     until(lambda: fleet.dropped(0) == 4, PATIENCE)
     fleet.able()
     fleet.delivered_once(refs)
@@ -105,12 +105,12 @@
     fleet = custodial()
     found = fleet.custody(0)  # of the current book alone: an older one may be about to be closed
     replicas = {r["name"] for b in found["books"] if b["book"] == found["current"] for r in b["replicas"]}
-    fleet.relay.weather = Weather(cut=lambda a, b: a in replicas and b == "i0")
+    fleet.relay.conditions = Conditions(cut=lambda a, b: a in replicas and b == "i0")
     assert fleet.senders[0].hand_in(ref="unheard")[1].status == 503
     fleet.able([0], witnesses=3)  # it has found others
     refs = fleet.take(0, 3)
     fleet.lose(0)
-    fleet.relay.weather = Weather()
+    fleet.relay.conditions = Conditions()
     until(fleet.took, PATIENCE)
     fleet.serve()
     until(lambda: set(refs) <= set(fleet.host.refs()), PATIENCE)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -23,7 +23,7 @@
     Tenant,
     TenantPart,
 )
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Conditions, Network
 from willownotch.shared.budgets import WHOLE_PPM, Budgets, Loan, LoanRequest
 from willownotch.shared.judgements import Judgements, Row
 from willownotch.shared.layer import JudgementRows, LoanGrants, LoanRequests, SharingLayer
@@ -287,8 +287,8 @@
 # The layer in simulated time
 
 
-def simulated_fleet(number, weather, seed=1):
-    net = Network(seed, weather)
+def simulated_fleet(number, conditions, seed=1):
+    net = Network(seed, conditions)
     layers = {}
     for n in range(number):
         name = f"i{n}"
@@ -299,7 +299,7 @@
 
 
 def test_judgements_reach_all_through_loss_and_delay_and_expire_when_their_sources_die():
-    net, layers = simulated_fleet(8, Weather(loss=0.2, delay=0.3))
+    net, layers = simulated_fleet(8, Conditions(loss=0.2, delay=0.3))
     net.run(8.0)
     for name in ("i0", "i1"):
         layers[name].judgements.told(net.now + net.offsets[name], "e1", works=False)
--- a/tests/test_shared_sockets.py
+++ b/tests/test_shared_sockets.py
@@ -18,11 +18,11 @@
 from willownotch.channel.client import ask
 from willownotch.net import http
 from willownotch.peers.core import Membership
-from willownotch.peers.edge import Edge
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 from willownotch.peers.node import Node
 from willownotch.peers.seal import Seal, read_keys
 from willownotch.peers.settings import PeersSettings
+from willownotch.peers.transport import UdpTransport
 from willownotch.shared.judgements import Judgements
 from willownotch.shared.layer import SharingLayer
 
@@ -38,9 +38,9 @@
         " judgements yes\n judgement 2s\n"
     )
 
-    def __init__(self, number, tmp_path, weather=None, extra_settings=""):
+    def __init__(self, number, tmp_path, conditions=None, extra_settings=""):
         self.shared += extra_settings
-        super().__init__(number, tmp_path, weather, usage="")
+        super().__init__(number, tmp_path, conditions, usage="")
 
     def settings(self, n):
         return super().settings(n).replace("usage {\n count yes\n}\n", "") + f"shared {{\n{self.shared}}}\n"
@@ -56,8 +56,8 @@
 def new_fleet(tmp_path):
     fleets = []
 
-    def make(number=MEMBERS, weather=None, extra_settings=""):
-        fleets.append(SharingFleet(number, tmp_path, weather, extra_settings))
+    def make(number=MEMBERS, conditions=None, extra_settings=""):
+        fleets.append(SharingFleet(number, tmp_path, conditions, extra_settings))
         return fleets[-1].wait_joined(PATIENCE)
 
     yield make
@@ -120,10 +120,10 @@
     for load in loads:
         load.start()
     until(lambda: sum(len(load.taken) for load in loads) > QUOTA * 4, PATIENCE)
-    fleet.relay.weather = Weather(cut=lambda a, b: (a in ("i0", "i1")) != (b in ("i0", "i1")))
+    fleet.relay.conditions = Conditions(cut=lambda a, b: (a in ("i0", "i1")) != (b in ("i0", "i1")))
     before = sum(len(load.taken) for load in loads)
     until(lambda: sum(len(load.taken) for load in loads) > before + QUOTA * 6, PATIENCE)
-    fleet.relay.weather = Weather()
+    fleet.relay.conditions = Conditions()
     before = sum(len(load.taken) for load in loads)
     until(lambda: sum(len(load.taken) for load in loads) > before + QUOTA * 3, PATIENCE)
     times = [at for load in loads for at in load.stop()]
@@ -136,15 +136,15 @@
     load = Load(fleet.senders[0], "l0")
     load.start()
     until(lambda: fleet.part(0) > 0.6, PATIENCE)
-    fleet.relay.weather = Weather(cut=lambda a, b: True)
+    fleet.relay.conditions = Conditions(cut=lambda a, b: True)
     until(lambda: fleet.part(0) <= 0.2501, PATIENCE)
     until(lambda: all(abs(fleet.part(n) - 0.25) < 0.01 for n in range(1, MEMBERS)), PATIENCE)
     load.stop()
 
 
 def test_the_budget_holds_through_loss_delay_and_one_way_links(new_fleet):
-    fleet = new_fleet(weather=Weather(loss=0.2, delay=0.15, repeat=0.1))
-    fleet.relay.weather = Weather(loss=0.5, delay=0.1, jitter=0.2, cut=lambda a, b: a == "i3")
+    fleet = new_fleet(conditions=Conditions(loss=0.2, delay=0.15, repeat=0.1))
+    fleet.relay.conditions = Conditions(loss=0.5, delay=0.1, jitter=0.2, cut=lambda a, b: a == "i3")
     loads = [Load(sender, f"l{n}") for n, sender in enumerate(fleet.senders[:3])]
     for load in loads:
         load.start()
@@ -221,19 +221,19 @@
     judgements = Judgements("liar", uid, 2.0, 2, 0.5, 1000)
     layer = SharingLayer("liar", lambda: 0.05, Random(1), None, judgements, time.monotonic())
     node = Node(Membership("liar", address, uid, PeersSettings(), Random(2)), (layer,))
-    edge = Edge(sock, node, Seal(uid, read_keys(KEYS), node.decode), 10**6, lambda text: None)
+    transport = UdpTransport(sock, node, Seal(uid, read_keys(KEYS), node.decode), 10**6, lambda text: None)
 
     def lie(now):
         judgements.told(now, "s-0", works=False)
 
-    edge.before = lie
-    threading.Thread(target=edge.run, args=((fleet.relay_addresses[0],),), daemon=True).start()
-    return edge
+    transport.before = lie
+    threading.Thread(target=transport.run, args=((fleet.relay_addresses[0],),), daemon=True).start()
+    return transport
 
 
 def test_a_lying_member_does_not_prevent_deliveries(new_fleet):
     fleet = new_fleet(3)
-    edge = start_lying_member(fleet)
+    transport = start_lying_member(fleet)
     try:
         until(
             lambda: all(
@@ -245,7 +245,7 @@
         refs = [fleet.senders[n].hand_in("status")[0] for n in range(3)]
         until(lambda: len(fleet.host.calls) == len(refs), PATIENCE)
     finally:
-        edge.stop()
+        transport.stop()
 
 
 def test_without_settings_nothing_is_shared():
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,7 +3,7 @@
 import pytest
 
 from willownotch.lab.faults.shim import CallFault
-from willownotch.lab.soak.plan import Action, Plan, Step, Weather, draw, draw_cold
+from willownotch.lab.soak.plan import Action, Conditions, Plan, Step, draw, draw_cold
 from willownotch.lab.soak.records import (
     NONE_COUNTED,
     Call,
@@ -19,10 +19,10 @@
 from willownotch.lab.soak.verdict import judge
 
 SECONDS = 6.0
-CALM = (Weather(0.0),)
+CALM = (Conditions(0.0),)
 
 
-def fixed(*steps, call_faults=(), clients=6, clock_steps_s=(), idle=0, weather=CALM):
+def fixed(*steps, call_faults=(), clients=6, clock_steps_s=(), idle=0, conditions=CALM):
     return Plan(
         1,
         SECONDS,
@@ -31,7 +31,7 @@
         idle,
         3,
         tuple(Step(at, 0, action) for at, action in steps),
-        weather,
+        conditions,
         tuple(call_faults),
         clock_steps_s,
     )
@@ -55,7 +55,7 @@
         (0.5, Action.UPGRADE),
         (2.0, Action.UPGRADE_TWICE),
         (3.5, Action.KILL),
-        weather=(Weather(0.0, hang=0.3, refuse=0.2, break_pieces=0.02), Weather(4.0)),
+        conditions=(Conditions(0.0, hang=0.3, refuse=0.2, break_pieces=0.02), Conditions(4.0)),
         call_faults=[
             CallFault("recv", "short", rate=0.1),
             CallFault("send", "ENOBUFS", rate=0.02),
@@ -205,4 +205,4 @@
     for seed in range(50):
         plan = draw(seed)
         assert all(0 < step.at_s < plan.seconds for step in plan.steps)
-        assert plan.weather[0].from_s == 0.0 and plan.weather[-1] == Weather(plan.seconds)
+        assert plan.conditions[0].from_s == 0.0 and plan.conditions[-1] == Conditions(plan.seconds)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 from willownotch.peers.node import decoder
 from willownotch.usage.core import Session, Usage
 from willownotch.usage.estimate import Interval, interval
@@ -29,8 +29,8 @@
 QUICK = UsageSettings(settle=timedelta(seconds=5), gone=timedelta(seconds=60))
 
 
-def fleet(seed=1, weather=None, names=NAMES, settings=QUICK, **more):
-    made = Fleet(seed, weather, settings, **more)
+def fleet(seed=1, conditions=None, names=NAMES, settings=QUICK, **more):
+    made = Fleet(seed, conditions, settings, **more)
     for name in names:
         made.start(name, () if name == names[0] else (names[0],))
     return made
@@ -44,17 +44,17 @@
 
 
 @pytest.mark.parametrize(
-    "weather",
+    "conditions",
     [
-        Weather(),
-        Weather(loss=0.2, delay=0.3, jitter=0.05),
-        Weather(loss=0.5),
-        Weather(repeat=0.5, jitter=0.5),
+        Conditions(),
+        Conditions(loss=0.2, delay=0.3, jitter=0.05),
+        Conditions(loss=0.5),
+        Conditions(repeat=0.5, jitter=0.5),
     ],
     ids=["good", "loss and delay", "half lost", "repeats and overtaking"],
 )
-def test_all_hold_the_truth_and_every_interval_holds_it_meanwhile(weather):
-    made = fleet(weather=weather)
+def test_all_hold_the_truth_and_every_interval_holds_it_meanwhile(conditions):
+    made = fleet(conditions=conditions)
     made.run(10)
     for n, name in enumerate(NAMES):
         made.load(name, KEY, 5.0 + n)
@@ -77,10 +77,10 @@
         made.load(name, KEY, 10.0)
     made.run(10)
     halves = set(NAMES[:4])
-    made.net.weather.cut = lambda a, b: (a in halves) != (b in halves)
+    made.net.conditions.cut = lambda a, b: (a in halves) != (b in halves)
     made.run(25)
     assert all(inside(made))
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     made.run(40)
     for name in NAMES:
         made.load(name, KEY, 0)
@@ -90,7 +90,7 @@
 def test_who_cannot_send_to_one_is_heard_of_through_the_others():
     made = fleet()
     made.run(5)
-    made.net.weather.cut = lambda a, b: (a, b) == ("i1", "i2")
+    made.net.conditions.cut = lambda a, b: (a, b) == ("i1", "i2")
     made.count("i1", KEY, 7)
     assert made.settle(10) < 10
 
@@ -147,11 +147,11 @@
 def test_who_rejoins_with_stale_counts_learns_the_rest_and_gives_its_own():
     made = fleet()
     made.run(5)
-    made.net.weather.cut = lambda a, b: "i5" in (a, b)
+    made.net.conditions.cut = lambda a, b: "i5" in (a, b)
     for name in NAMES:
         made.load(name, KEY, 20.0)
     made.run(20)
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     for name in NAMES:
         made.load(name, KEY, 0)
     made.settle()
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("offset", [5.0, -5.0, 1e6])
 def test_clocks_need_not_agree(offset):
-    made = Fleet(3, Weather(loss=0.2, delay=0.1), QUICK)
+    made = Fleet(3, Conditions(loss=0.2, delay=0.1), QUICK)
     for n, name in enumerate(NAMES):
         made.start(name, () if n == 0 else ("i0",), offset=offset * (n % 2))
     made.run(5)
@@ -212,7 +212,7 @@
         made.count(name, KEY, 3)
     made.settle()
     made.run(made.now + 5)
-    made.net.weather.cut = lambda a, b: "i5" in (a, b)
+    made.net.conditions.cut = lambda a, b: "i5" in (a, b)
     made.run(made.now + 40)  # past half of `gone`: a new life
     assert made.running["i5"].usage.counters["renewed"] == 1
     made.count("i5", KEY, 4)
@@ -220,7 +220,7 @@
     assert len(made.running["i0"].usage.settled.sessions) == 1
     made.count("i5", KEY, 2)
     made.count("i1", KEY, 1)
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     made.settle(120)
     assert made.truth[KEY] == 31
 
@@ -230,11 +230,11 @@
     made.run(5)
     made.count("i2", KEY, 3)
     made.settle()
-    made.net.weather.cut = lambda a, b: "i2" in (a, b)
+    made.net.conditions.cut = lambda a, b: "i2" in (a, b)
     made.run(made.now + 40)
     assert made.running["i2"].usage.counters["renewed"] == 1
     made.count("i2", KEY, 4)
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     made.settle(60)
     assert made.truth[KEY] == 7
 
@@ -293,7 +293,7 @@
 
 def test_a_member_that_has_told_nothing_is_named():
     made = fleet(names=NAMES[:2])
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     made.run(5)
     usage = made.running["i0"].usage
     assert usage.answer(made.own_time("i0")).unheard == ()
@@ -446,7 +446,7 @@
     for name in NAMES[:4]:
         made.load(name, KEY, 0)
     halves = set(NAMES[:2])
-    made.net.weather.cut = lambda a, b: (a in halves) != (b in halves)
+    made.net.conditions.cut = lambda a, b: (a in halves) != (b in halves)
     limit = made.truth[KEY] + 1000
     made.run(21)
     while made.now < 60:
@@ -620,12 +620,12 @@
     made.run(5)
     made.count("i1", KEY, 5)
     made.settle()
-    made.net.weather.cut = lambda a, b: True
+    made.net.conditions.cut = lambda a, b: True
     made.run(made.now + 40)
     assert made.running["i1"].usage.counters["renewed"] == 1
     made.kill("i0")
     made.start("i0")
-    made.net.weather.cut = lambda a, b: False
+    made.net.conditions.cut = lambda a, b: False
     made.settle(60)
     assert made.truth[KEY] == 5
 
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -35,18 +35,18 @@
 from willownotch.files.layer import REAL, Files
 from willownotch.lease.service import Leases
 from willownotch.lease.settings import DutySettings, LeaseSettings
-from willownotch.links.edge import Edge as Links
-from willownotch.links.edge import Kind
+from willownotch.links.transport import LinkKind
+from willownotch.links.transport import TcpTransport as Links
 from willownotch.mesh import UID_BITS, bind
 from willownotch.net import memory
 from willownotch.net.clock import Clock
 from willownotch.net.log import Log
 from willownotch.peers.core import Membership
 from willownotch.peers.core import Send as ToFollower
-from willownotch.peers.edge import Budget, Edge, shown
 from willownotch.peers.keys import load_keys
 from willownotch.peers.node import Node
 from willownotch.peers.seal import Seal
+from willownotch.peers.transport import Budget, UdpTransport, format_address
 from willownotch.peers.wire import Address
 
 LINK_VERSION = 34  # of frames between members
@@ -76,7 +76,7 @@
 
 _encode = msgspec.msgpack.Encoder().encode
 _record = msgspec.msgpack.Decoder(agreement.Record).decode
-LINKS = Kind(
+LINKS = LinkKind(
     "member", LINK_VERSION, msgspec.msgpack.Decoder(Said).decode, lambda message: len(_encode(message)) + 64
 )
 
@@ -101,7 +101,7 @@
         sock.bind(address)
     except OSError as fault:
         sock.close()
-        raise OSError(fault.errno, f"followers {shown(address)}: {fault.strerror}") from None
+        raise OSError(fault.errno, f"followers {format_address(address)}: {fault.strerror}") from None
     return sock
 
 
@@ -214,7 +214,7 @@
             lambda text: self.say("lease", text),
         )
         node = Node(membership, (self.leases.layer,))
-        self.edge = Edge(
+        self.transport = UdpTransport(
             self.peers_sock,
             node,
             Seal(uid, keys, node.decode),
@@ -222,7 +222,7 @@
             lambda text: self.say("peers", text),
             self.leases.before,
         )
-        self.leases.lock = self.edge.lock
+        self.leases.lock = self.transport.lock
         self.links = Links(
             LINKS,
             listener,
@@ -267,8 +267,8 @@
             ("peers", self.peers_sock.getsockname()),
             ("followers", self.sock.getsockname()),
         ):
-            self.say("member", f"{self.name} listens for {what} on {shown(address)}")
-        start("peers", lambda: self.edge.run(self.blocks.peers.seeds), False)
+            self.say("member", f"{self.name} listens for {what} on {format_address(address)}")
+        start("peers", lambda: self.transport.run(self.blocks.peers.seeds), False)
         start("member", self.run, False)
         start("member-in", self.links.run, True)
         start("followers", self._receive, True)
@@ -283,7 +283,7 @@
                     "history": lambda about: self._with_lock(
                         lambda: operators.history_of(self.document, about)
                     ),
-                    "peers": lambda about: self.edge.view(),
+                    "peers": lambda about: self.transport.view(),
                     "leases": lambda about: self.leases.view(),
                 }
             )
@@ -316,7 +316,7 @@
             self._look(now)
 
     def _token(self, now: float) -> int | None:
-        with self.edge.lock:
+        with self.transport.lock:
             return None if self._ending else self.leases.layer.token(self._duty, now)
 
     def _settle(self, now: float) -> None:
@@ -430,8 +430,8 @@
 
     def _look_where(self) -> None:
         """Also those that are taken for dead: the agreement does not wait for who was wrong about them."""
-        with self.edge.lock:
-            members = self.edge.node.membership.members.values()
+        with self.transport.lock:
+            members = self.transport.node.membership.members.values()
             self.links.addresses = {m.name: m.address for m in members if m.name in self.blocks.member.voters}
 
     def _look(self, now: float) -> None:
@@ -555,15 +555,15 @@
             history=old.member.history,
         )
         with self.lock:
-            self.seal.roll(keys)
-            self.links.roll(keys)
+            self.seal.rotate_keys(keys)
+            self.links.rotate_keys(keys)
             self.reference = reference
             self.serving.configure(settings, time.monotonic())
-            with self.edge.lock:
-                self.edge.seal.roll(keys)
+            with self.transport.lock:
+                self.transport.seal.rotate_keys(keys)
                 if blocks.peers != old.peers:
-                    self.edge.node.membership.settings = blocks.peers
-                    self.edge.budget = Budget(blocks.peers.budget, time.monotonic())
+                    self.transport.node.membership.settings = blocks.peers
+                    self.transport.budget = Budget(blocks.peers.budget, time.monotonic())
                 self.leases.reload(lease_settings(settings))
             self.blocks = msgspec.structs.replace(blocks, member=settings)
         return ", ".join(later)
@@ -581,8 +581,8 @@
             self._ending = True
             self._send(self.commits.lead(time.monotonic(), None))
             self.woken.notify()
-        self.edge.last(self.leases.layer.leave)
-        self.edge.stop()
+        self.transport.send_last(self.leases.layer.leave)
+        self.transport.stop()
         if self.channel is not None:
             self.channel.close()
         with self.lock:
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -27,9 +27,9 @@
 from willownotch.controlplane.store import BusyError, Store
 from willownotch.files.layer import REAL, Files
 from willownotch.net.config import Config, ConfigError, Overlay
-from willownotch.peers.edge import Budget
 from willownotch.peers.keys import load_keys
 from willownotch.peers.seal import Seal
+from willownotch.peers.transport import Budget
 from willownotch.peers.wire import Address
 
 IDLE_S = 1.0  # s between two rounds at the most
@@ -259,7 +259,7 @@
         """Take other members, spans or keys; `ValueError`, and nothing changed, if these cannot be read."""
         keys = load_keys(settings.keys)
         with self.lock:
-            self.seal.roll(keys)
+            self.seal.rotate_keys(keys)
             self.settings = settings
             if self.follower is not None:
                 self.follower.configure(settings, time.monotonic())
--- a/willownotch/controlplane/simulated.py
+++ b/willownotch/controlplane/simulated.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class Conditions:
     """How bad the network is. Times are seconds, the rest shares."""
 
     loss: float = 0.0
@@ -65,13 +65,13 @@
         self,
         seed: int,
         followers: int,
-        weather: Weather | None = None,
+        conditions: Conditions | None = None,
         member: MemberSettings | None = None,
         follow: FollowSettings | None = None,
         entries: int = 0,
         spread: Callable[[int], str] | None = None,
     ) -> None:
-        self.random, self.weather = Random(seed), weather or Weather()
+        self.random, self.conditions = Random(seed), conditions or Conditions()
         self.member = member or MemberSettings()
         self.now, self.apply_s = 0.0, 0.02
         self.refuses: Callable[[str, Document], str] = lambda name, document: ""
@@ -183,7 +183,7 @@
         return sum(map(lambda other: self._meet(node, other), self.members())) <= len(MEMBERS) // 2
 
     def _meet(self, one: Node, other: Node) -> bool:
-        cut = self.weather.cut
+        cut = self.conditions.cut
         return other.core is not None and not cut(one.zone, other.zone) and not cut(other.zone, one.zone)
 
     def _catch_up(self, node: Node) -> None:
@@ -244,12 +244,12 @@
                     raise AssertionError(f"a message of {len(data)} bytes does not fit a datagram")
                 node.sent += len(data) + FRAME
                 target = send.address[0]
-                weather, zone = self.weather, self.nodes[target].zone
-                for _ in range(1 + (weather.repeat > 0 and self.random.random() < weather.repeat)):
-                    if weather.cut(node.zone, zone) or self.random.random() < weather.loss:
+                conditions, zone = self.conditions, self.nodes[target].zone
+                for _ in range(1 + (conditions.repeat > 0 and self.random.random() < conditions.repeat)):
+                    if conditions.cut(node.zone, zone) or self.random.random() < conditions.loss:
                         self.dropped += 1
                         continue
-                    delay = weather.delay + self.random.random() * weather.jitter
+                    delay = conditions.delay + self.random.random() * conditions.jitter
                     self._at(self.now + delay, "data", target, (node.name, data))
         self._schedule(node)
 
--- a/willownotch/lab/check/leases.py
+++ b/willownotch/lab/check/leases.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from willownotch.lab.check.states import Found, Move, explore
-from willownotch.lease.register import Grant, Wanted, decide
+from willownotch.lease.register import Grant, GrantRequest, decide
 
 ELECTORS, MAJORITY = 3, 2
 
@@ -217,7 +217,7 @@
             fresh = one._replace(asks=replaced(one.asks, number, mask & ~(1 << at)))
             elector = state.electors[at]
             grant = Grant(elector.token, str(elector.holder), 0, elector.left) if elector.token else None
-            found = decide(grant, 0, Wanted(one.tokens[number], str(n + 1), 0, bounds.span))
+            found = decide(grant, 0, GrantRequest(one.tokens[number], str(n + 1), 0, bounds.span))
             if found is None:
                 continue
             fresh = fresh._replace(answers=replaced(one.answers, number, one.answers[number] | 1 << at))
--- a/willownotch/lab/faults/net.py
+++ b/willownotch/lab/faults/net.py
@@ -20,7 +20,7 @@
 import time
 from random import Random
 
-from willownotch.peers.lossy import Weather
+from willownotch.peers.lossy import Conditions
 
 LARGEST = 65535
 BIND_TRIES = 20
@@ -54,15 +54,15 @@
             threading.Thread(target=work, daemon=True).start()
 
     def _read(self) -> None:
-        weather = self.net.weather
+        conditions = self.net.conditions
         try:
             while data := self.client.recv(LARGEST):
-                weather = self.net.weather
-                late = weather.delay + self.net.random.random() * weather.jitter
+                conditions = self.net.conditions
+                late = conditions.delay + self.net.random.random() * conditions.jitter
                 self.pieces.put((time.monotonic() + late, data))
         except OSError:
             pass
-        self.pieces.put((time.monotonic() + weather.delay, b""))
+        self.pieces.put((time.monotonic() + conditions.delay, b""))
 
     def _write(self) -> None:
         try:
@@ -94,9 +94,9 @@
 class Relay:
     """Doors for members; `weather` may change at any time, `cut` by the members' names, one way."""
 
-    def __init__(self, seed: int, weather: Weather | None = None) -> None:
+    def __init__(self, seed: int, conditions: Conditions | None = None) -> None:
         self._changed = threading.Condition()
-        self.weather, self.random = weather or Weather(), Random(seed)
+        self.conditions, self.random = conditions or Conditions(), Random(seed)
         self.passed = self.lost = 0
         self._listeners: list[socket.socket] = []
         self._pipes: list[Pipe] = []
@@ -129,14 +129,14 @@
         self._hosts[address[0]] = name
 
     @property
-    def weather(self) -> Weather:
+    def conditions(self) -> Conditions:
         """How bad it is now."""
         return self._weather
 
-    @weather.setter
-    def weather(self, weather: Weather) -> None:
+    @conditions.setter
+    def conditions(self, conditions: Conditions) -> None:
         with self._changed:
-            self._weather = weather
+            self._weather = conditions
             self._changed.notify_all()
 
     def address(self, name: str) -> tuple[str, int]:
@@ -150,13 +150,13 @@
         with self._changed:
             while not self._ending:
                 left = due - time.monotonic()
-                if left <= 0 and not self.weather.cut(source, target):
+                if left <= 0 and not self.conditions.cut(source, target):
                     return
                 self._changed.wait(max(left, 0.0) or None)
 
     def breaks(self) -> bool:
         """Whether this piece is lost, and the connection with it."""
-        lost = self.random.random() < self.weather.loss
+        lost = self.random.random() < self.conditions.loss
         self.lost += lost
         return lost
 
@@ -190,17 +190,17 @@
                     self.passed += 1
 
     def _take(self, name: str, source: str, data: bytes) -> None:
-        weather, sock = self.weather, next((s for s, n in self._doors.values() if n == source), None)
+        conditions, sock = self.conditions, next((s for s, n in self._doors.values() if n == source), None)
         if sock is None:
             return  # of no member
-        if weather.cut(source, name):
+        if conditions.cut(source, name):
             self.lost += 1
             return
-        for _ in range(1 + (self.random.random() < weather.repeat)):
-            if self.random.random() < weather.loss:
+        for _ in range(1 + (self.random.random() < conditions.repeat)):
+            if self.random.random() < conditions.loss:
                 self.lost += 1
                 continue
-            at = time.monotonic() + weather.delay + self.random.random() * weather.jitter
+            at = time.monotonic() + conditions.delay + self.random.random() * conditions.jitter
             heapq.heappush(self._due, (at, next(self._count), sock, name, data))
 
     def close(self) -> None:
--- a/willownotch/lab/soak/endpoints.py
+++ b/willownotch/lab/soak/endpoints.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from random import Random
 
-from willownotch.lab.soak.plan import Weather
+from willownotch.lab.soak.plan import Conditions
 from willownotch.lab.soak.records import Call, Notice, Records
 from willownotch.net import http
 
@@ -109,13 +109,13 @@
 class Endpoint(Server):
     """A partner's endpoint: records each call, and answers by the weather of the moment."""
 
-    def __init__(self, records: Records, weather: Callable[[], Weather], seed: int) -> None:
-        self.records, self.weather, self.random = records, weather, Random(seed)
+    def __init__(self, records: Records, conditions: Callable[[], Conditions], seed: int) -> None:
+        self.records, self.conditions, self.random = records, conditions, Random(seed)
         super().__init__()
 
     def answer(self, sock: socket.socket, head: http.Head, body: bytes) -> bool:
         """See `Server`."""
-        weather = self.weather()
+        conditions = self.conditions()
         call = Call(
             head.headers.get("request-id", ""),
             time.monotonic(),
@@ -126,15 +126,15 @@
             self.records.calls.append(call)
         lot = self.random.random()
         for share, act in (
-            (weather.refuse, self._refuse),
-            (weather.error, self._fail),
-            (weather.reset, self._reset),
-            (weather.hang, self._hang),
+            (conditions.refuse, self._refuse),
+            (conditions.error, self._fail),
+            (conditions.reset, self._reset),
+            (conditions.hang, self._hang),
         ):
             if lot < share:
                 return act(sock, call)
             lot -= share
-        self.closing.wait(self.random.uniform(0.2, 1.8) * weather.slow_s)
+        self.closing.wait(self.random.uniform(0.2, 1.8) * conditions.slow_s)
         return self._write(sock, call, 200, ())
 
     def _write(self, sock: socket.socket, call: Call, status: int, headers: tuple) -> bool:
--- a/willownotch/lab/soak/plan.py
+++ b/willownotch/lab/soak/plan.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class Conditions:
     """How bad the endpoints and the way to them are in a span of time. Shares, and seconds."""
 
     from_s: float
@@ -112,7 +112,7 @@
     idle: int
     endpoints: int
     steps: tuple[Step, ...]
-    weather: tuple[Weather, ...]
+    conditions: tuple[Conditions, ...]
     call_faults: tuple[CallFault, ...]
     clock_steps_s: tuple[float, ...]  # of the wall clock, for the processes of a sender in turn
     cold: ColdPlan | None = None
@@ -184,13 +184,13 @@
     return tuple(found)
 
 
-def draw_weather(random: Random, seconds: float) -> tuple[Weather, ...]:
+def draw_weather(random: Random, seconds: float) -> tuple[Conditions, ...]:
     """Spans of trouble, some of them right over the steps, and a calm end in which all can be delivered."""
-    found, at = [Weather(0.0)], 1.0
+    found, at = [Conditions(0.0)], 1.0
     while at < seconds - 1.0:
         kind = random.random()
         found.append(
-            Weather(
+            Conditions(
                 at,
                 slow_s=random.choice((0.005, 0.02, 0.1, 0.4)),
                 refuse=random.choice((0.0, 0.0, 0.1, 0.5)),
@@ -202,7 +202,7 @@
             )
         )
         at += random.uniform(0.8, 3.0)
-    return (*found, Weather(seconds))
+    return (*found, Conditions(seconds))
 
 
 def draw_steps(random: Random, senders: int, seconds: float) -> tuple[Step, ...]:
@@ -298,7 +298,7 @@
         0,
         2,
         tuple(sorted(steps, key=lambda step: step.at_s)),
-        (Weather(0.0),),
+        (Conditions(0.0),),
         draw_call_faults(random, returned) if random.random() < 0.3 else (),
         (),
         cold,
--- a/willownotch/lab/soak/run.py
+++ b/willownotch/lab/soak/run.py
@@ -14,7 +14,7 @@
 from willownotch.lab.soak.clients import Client, IdleCrowd
 from willownotch.lab.soak.cold import ColdEndpoint
 from willownotch.lab.soak.endpoints import COLD_DESTINATION, Endpoint, Platform
-from willownotch.lab.soak.plan import Plan, Step, Weather
+from willownotch.lab.soak.plan import Conditions, Plan, Step
 from willownotch.lab.soak.processes import ROOT, SenderProcesses
 from willownotch.lab.soak.records import Ending, Records
 from willownotch.lab.soak.verdict import Broken, judge
@@ -70,13 +70,15 @@
 
     def __init__(self, plan: Plan, folder: Path, program: Path = ROOT) -> None:
         self.plan, self.records, self.began = plan, Records(), time.monotonic()
-        self.endpoints = [Endpoint(self.records, self.weather, plan.seed + n) for n in range(plan.endpoints)]
+        self.endpoints = [
+            Endpoint(self.records, self.conditions, plan.seed + n) for n in range(plan.endpoints)
+        ]
         self.proxies = [Proxy(endpoint.address, plan.seed + n) for n, endpoint in enumerate(self.endpoints)]
         self.cold = ColdEndpoint(self.records, plan.cold, plan.senders, plan.seed) if plan.cold else None
         self.platform = Platform(
             self.records,
             [proxy.address for proxy in self.proxies],
-            lambda: self.weather().discovery_up,
+            lambda: self.conditions().discovery_up,
             self.cold.address if self.cold else None,
             plan.cold.limit_per_s if plan.cold else 0.0,
         )
@@ -86,10 +88,10 @@
         ]
         self.stop, self.settling = threading.Event(), False
 
-    def weather(self) -> Weather:
+    def conditions(self) -> Conditions:
         """The plan's, as of now."""
         at = time.monotonic() - self.began
-        return [w for w in self.plan.weather if w.from_s <= at][-1] if at >= 0 else self.plan.weather[0]
+        return [w for w in self.plan.conditions if w.from_s <= at][-1] if at >= 0 else self.plan.conditions[0]
 
     def play(self) -> Report:
         """Start all, carry the steps out, wait for all endings, and judge."""
@@ -186,11 +188,11 @@
         sender.act(step.action)
 
     def _change_proxy(self) -> None:
-        for weather in self.plan.weather:
-            if self.stop.wait(max(0.0, self.began + weather.from_s - time.monotonic())):
+        for conditions in self.plan.conditions:
+            if self.stop.wait(max(0.0, self.began + conditions.from_s - time.monotonic())):
                 return
             for proxy in self.proxies:
-                proxy.trouble = Trouble(jitter_s=JITTER_S, reset=weather.break_pieces)
+                proxy.trouble = Trouble(jitter_s=JITTER_S, reset=conditions.break_pieces)
 
     def _measure_lateness(self) -> None:
         """How late this process itself is: its threads share one interpreter and the machine."""
--- a/willownotch/lease/core.py
+++ b/willownotch/lease/core.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from willownotch.lease.register import Register, Wanted
+from willownotch.lease.register import GrantRequest, GrantTable
 from willownotch.lease.settings import LeaseSettings
 from willownotch.peers.core import Membership, Send
-from willownotch.peers.node import there
+from willownotch.peers.node import alive_members
 from willownotch.peers.wire import Address
 
 DRIFT = 0.05  # how much two clocks may differ in speed
@@ -35,7 +35,7 @@
     source: str
     duty: str
     token: int
-    life: int
+    uid: int
     span_ms: int
     number: int
     release: bool = False
@@ -50,7 +50,7 @@
     granted: bool
     token: int
     holder: str
-    life: int
+    uid: int
     left_ms: int
 
 
@@ -69,12 +69,12 @@
     duty: str
     token: int
     number: int
-    life: int
+    uid: int
     left_ms: int
     body: bytes | None
 
 
-class Took(msgspec.Struct, tag=54, frozen=True, array_like=True):
+class ActReply(msgspec.Struct, tag=54, frozen=True, array_like=True):
     """An act was taken, or it was refused: a higher token is known."""
 
     source: str
@@ -146,21 +146,21 @@
     `keep` puts a grant or a fence into the folder before it counts; `took` is told of each act that is taken
     here."""
 
-    messages = (Ask, Answer, Free, Act, Took)
+    messages = (Ask, Answer, Free, Act, ActReply)
 
     def __init__(
         self,
         name: str,
-        life: int,
+        uid: int,
         settings: LeaseSettings,
         now: float,
         random: Random,
-        keep: Keep = lambda duty, token, holder, life: True,
+        keep: Keep = lambda duty, token, holder, uid: True,
         took: Callable[[str, int, str, bytes], None] = lambda *act: None,
     ) -> None:
-        self.name, self.life, self.settings, self.random = name, life, settings, random
+        self.name, self.uid, self.settings, self.random = name, uid, settings, random
         self.keep, self.took = keep, took
-        self.register = Register(now, self._span())
+        self.register = GrantTable(now, self._span())
         self.duties: dict[str, Duty] = {}
         self.news: list[str] = []  # lines for the operators
         self._members: dict[str, Address] = {}  # that are there
@@ -183,10 +183,10 @@
         for name in [name for name in self.duties if name not in settings.duty]:
             self._let_go(self.duties.pop(name))
 
-    def restore(self, duty: str, token: int, holder: str, life: int) -> None:
+    def restore(self, duty: str, token: int, holder: str, uid: int) -> None:
         """What the folder has of a duty: what was granted, or (no holder) a fence."""
         if holder:
-            self.register.restore(duty, token, holder, life)
+            self.register.restore(duty, token, holder, uid)
         if duty in self.duties:
             known = self.duties[duty]
             known.fence = known.highest = max(known.fence, token)
@@ -208,7 +208,7 @@
         known.acts += 1
         number = known.acts
         left = max(0, round((known.until - now) * 1000))
-        message = Act(self.name, duty, token, number, self.life, left, body)
+        message = Act(self.name, duty, token, number, self.uid, left, body)
         known.pending[number] = Pending(message, dict.fromkeys(self._members, AGAIN), now + STEP_S)
         while len(known.pending) > 256:
             del known.pending[next(iter(known.pending))]
@@ -225,7 +225,7 @@
 
     def tick(self, now: float, membership: Membership) -> list[Send]:
         """Let time pass."""
-        self._due, self._members = now + STEP_S, dict(there(membership))
+        self._due, self._members = now + STEP_S, dict(alive_members(membership))
         self._known = {member.name: member.address for member in membership.members.values()}
         if not self._leaving:
             for duty in self.duties.values():
@@ -246,7 +246,9 @@
             taken = self._take(now, message)
             if message.body is not None or not taken:
                 token = message.token if taken else self._fence(message.duty)
-                self._sent.append(Send(address, Took(self.name, message.duty, token, message.number, taken)))
+                self._sent.append(
+                    Send(address, ActReply(self.name, message.duty, token, message.number, taken))
+                )
         else:
             self._told(now, message)
         sent, self._sent = self._sent, []
@@ -266,12 +268,12 @@
         if self.name not in self.settings.electors:
             return
         known = self.register.grants.get(ask.duty)
-        wanted = Wanted(ask.token, ask.source, ask.life, ask.span_ms / 1000, ask.release)
+        wanted = GrantRequest(ask.token, ask.source, ask.uid, ask.span_ms / 1000, ask.release)
         grant = self.register.ask(now, ask.duty, wanted)
         if (
             grant is not None
             and (known is None or grant.token != known.token)
-            and not self.keep(ask.duty, grant.token, grant.holder, grant.life)
+            and not self.keep(ask.duty, grant.token, grant.holder, grant.uid)
         ):
             # It cannot outlast this process, so it was not given.
             if known is None:
@@ -288,7 +290,7 @@
             grant is not None,
             shown.token if shown else 0,
             shown.holder if shown else "",
-            shown.life if shown else 0,
+            shown.uid if shown else 0,
             left,
         )
         if ask.source == self.name:
@@ -333,7 +335,7 @@
         if seen < self._need():
             duty.stage, duty.ask_at = Stage.IDLE, now + self._span() / 4
             # A question that nobody grants, and whose answer shows who is there all the same.
-            self._to_electors(Ask(self.name, duty.name, 0, self.life, 0, 0))
+            self._to_electors(Ask(self.name, duty.name, 0, self.uid, 0, 0))
             return
         if duty.stage is Stage.IDLE and place:
             duty.stage, duty.ask_at = Stage.ASKING, now + place * min(1.0, self._span() / 5)
@@ -360,7 +362,7 @@
         while len(duty.rounds) > ROUNDS:
             del duty.rounds[next(iter(duty.rounds))]
         span = round(self._span() * 1000)
-        ask = Ask(self.name, duty.name, token, self.life, span, duty.number, release)
+        ask = Ask(self.name, duty.name, token, self.uid, span, duty.number, release)
         if self.name in self.settings.electors:
             self._asked(now, ("", 0), ask)
         self._to_electors(ask)
@@ -379,7 +381,7 @@
             return
         self._heard[answer.source] = now
         duty.highest = max(duty.highest, answer.token)
-        mine = (answer.holder, answer.life) == (self.name, self.life)
+        mine = (answer.holder, answer.uid) == (self.name, self.uid)
         if not mine and answer.left_ms and answer.holder:
             duty.holder, duty.holder_until = answer.holder, now + answer.left_ms / 1000
         found = duty.rounds.get(answer.number)
@@ -440,7 +442,7 @@
         if now - duty.told_at >= self._span() / 3:
             duty.told_at = now
             left = round((duty.until - now) * 1000)
-            said = Act(self.name, duty.name, duty.token, 0, self.life, left, None)
+            said = Act(self.name, duty.name, duty.token, 0, self.uid, left, None)
             self._sent += [Send(address, said) for address in self._members.values()]
         canary = self.settings.duty[duty.name].canary
         if canary is not None and now >= duty.canary_at:
@@ -501,7 +503,7 @@
             if duty.stage is Stage.IDLE:
                 duty.ask_at = max(duty.ask_at, now + act.left_ms / 1000)
         if act.body is not None:
-            key = act.source, act.life
+            key = act.source, act.uid
             if duty.seen.get(key, 0) < act.number:
                 if len(duty.seen) > 64:
                     duty.seen.clear()
@@ -510,7 +512,7 @@
                 self.took(act.duty, act.token, act.source, act.body)
         return True
 
-    def _told(self, now: float, took: Took) -> None:
+    def _told(self, now: float, took: ActReply) -> None:
         duty = self.duties.get(took.duty)
         if duty is None:
             return
--- a/willownotch/lease/register.py
+++ b/willownotch/lease/register.py
@@ -14,31 +14,31 @@
 
     token: int
     holder: str
-    life: int  # of the holder's process
+    uid: int  # of the holder's process
     until: float
     closed: bool = False  # never to be granted again
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class GrantRequest:
     """What is asked for. `release`: the holder is done; `close`: and so is everybody."""
 
     token: int
     holder: str
-    life: int
+    uid: int
     span: float
     release: bool = False
     close: bool = False
 
 
-def decide(grant: Grant | None, now: float, wanted: Wanted) -> Grant | None:
+def decide(grant: Grant | None, now: float, wanted: GrantRequest) -> Grant | None:
     """The new grant, or None: it is refused.
 
     A token is one holder's for good. A higher one is granted once the lease has run out, or to the holder
     itself."""
     if grant is None:
         grant = Grant(0, "", 0, now)
-    own = (grant.holder, grant.life) == (wanted.holder, wanted.life)
+    own = (grant.holder, grant.uid) == (wanted.holder, wanted.uid)
     if grant.closed or wanted.token < grant.token:
         return None
     if wanted.token == grant.token and not own:
@@ -51,22 +51,22 @@
         until = now + wanted.span
         if own and wanted.token == grant.token:  # one that was overtaken by its successor shortens nothing
             until = max(until, grant.until)
-    return Grant(wanted.token, wanted.holder, wanted.life, until, wanted.close)
+    return Grant(wanted.token, wanted.holder, wanted.uid, until, wanted.close)
 
 
 @dataclass(slots=True)
-class Register:
+class GrantTable:
     """All grants of one elector. `began` is the start of this process, `span` the longest lease before it."""
 
     began: float
     span: float
     grants: dict[str, Grant] = field(default_factory=dict)
 
-    def restore(self, name: str, token: int, holder: str, life: int, closed: bool = False) -> None:
+    def restore(self, name: str, token: int, holder: str, uid: int, closed: bool = False) -> None:
         """What the folder has. The lease may have been granted a moment before the end."""
-        self.grants[name] = Grant(token, holder, life, self.began + self.span, closed)
+        self.grants[name] = Grant(token, holder, uid, self.began + self.span, closed)
 
-    def ask(self, now: float, name: str, wanted: Wanted, new: bool = False) -> Grant | None:
+    def ask(self, now: float, name: str, wanted: GrantRequest, new: bool = False) -> Grant | None:
         """The grant, or None. Of what is not `new` by its name, an earlier grant may have been forgotten."""
         known = self.grants.get(name)
         if known is None and not new and now < self.began + self.span:
--- a/willownotch/lease/service.py
+++ b/willownotch/lease/service.py
@@ -22,13 +22,13 @@
 LAST_ACTS = 16  # of each duty that are shown
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class StoredGrant(msgspec.Struct, frozen=True, array_like=True):
     """What the folder has of a duty: a grant, or a fence where there is no holder."""
 
     duty: str
     token: int
     holder: str
-    life: int
+    uid: int
 
 
 class ActView(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
         self,
         settings: LeaseSettings,
         name: str,
-        life: int,
+        uid: int,
         folder: Path,
         files: Files,
         now: float,
@@ -79,15 +79,15 @@
     ) -> None:
         self.settings, self.name, self.files, self.say = settings, name, files, say
         self.folder, self.path, self.lock = folder, folder / NAME, threading.Lock()
-        self.kept: dict[tuple[str, bool], Kept] = {}
-        self.layer = Duties(name, life, settings, now, random, self._keep, self._took)
-        self.does: dict[str, Callable[[bytes], None]] = {}  # on an act, by its first word
+        self.kept: dict[tuple[str, bool], StoredGrant] = {}
+        self.layer = Duties(name, uid, settings, now, random, self._keep, self._took)
+        self.act_handlers: dict[str, Callable[[bytes], None]] = {}  # on an act, by its first word
         self._last: dict[str, deque[tuple[float, int, str, bytes]]] = {}
         self._read()
 
     def _read(self) -> None:
         try:
-            found = msgspec.msgpack.decode(self.files.read_whole(self.path), type=list[Kept])
+            found = msgspec.msgpack.decode(self.files.read_whole(self.path), type=list[StoredGrant])
         except FileNotFoundError:
             return
         except (OSError, msgspec.DecodeError) as fault:
@@ -95,10 +95,10 @@
             return self.say(f"what was granted before cannot be read: {fault}")
         for kept in found:
             self.kept[kept.duty, bool(kept.holder)] = kept
-            self.layer.restore(kept.duty, kept.token, kept.holder, kept.life)
+            self.layer.restore(kept.duty, kept.token, kept.holder, kept.uid)
 
-    def _keep(self, duty: str, token: int, holder: str, life: int) -> bool:
-        key, kept = (duty, bool(holder)), Kept(duty, token, holder, life)
+    def _keep(self, duty: str, token: int, holder: str, uid: int) -> bool:
+        key, kept = (duty, bool(holder)), StoredGrant(duty, token, holder, uid)
         fresh = {**self.kept, key: kept}
         try:
             new = self.folder / NEW_NAME
@@ -118,8 +118,8 @@
         line = self._last.setdefault(duty, deque(maxlen=LAST_ACTS))
         line.append((time.monotonic(), token, source, body))
         word = body.partition(b" ")[0].decode("ascii", "replace")
-        if word in self.does:
-            self.does[word](body.partition(b" ")[2])
+        if word in self.act_handlers:
+            self.act_handlers[word](body.partition(b" ")[2])
 
     def before(self, now: float) -> None:
         """Say what became of duties here."""
--- a/willownotch/links/edge.py
+++ b/willownotch/links/transport.py
@@ -22,7 +22,7 @@
 from willownotch.peers.seal import Seal
 from willownotch.peers.wire import Address
 
-MOST = 1 << 20  # bytes of a frame
+MAX_FRAME_BYTES = 1 << 20  # bytes of a frame
 QUEUE_MOST = 4 << 20  # bytes that wait for one peer; what comes on top is dropped and counted
 CONNECT_S, WRITE_S, PAUSE_S = 1.0, 3.0, 0.1
 IDLE_S = 30.0  # a link that nothing was sent on for so long ends
@@ -38,8 +38,8 @@
 class Link:
     """What goes to one peer: a queue, a thread, a connection."""
 
-    def __init__(self, name: str, address: Address, edge: Edge) -> None:
-        self.name, self.address, self.edge = name, address, edge
+    def __init__(self, name: str, address: Address, transport: TcpTransport) -> None:
+        self.name, self.address, self.transport = name, address, transport
         self.waiting: queue.SimpleQueue[tuple[Message, int] | None] = queue.SimpleQueue()
         self.bytes = 0  # of frames that wait, as `Kind.size` has it
         self.sock: socket.socket | None = None
@@ -54,38 +54,38 @@
             except queue.Empty:
                 found = None
             if found is None:
-                with self.edge.lock:
+                with self.transport.lock:
                     if not self.waiting.empty():
                         continue
                     self.ended = True
-                    if self.edge.links.get(self.name) is self:
-                        del self.edge.links[self.name]
+                    if self.transport.links.get(self.name) is self:
+                        del self.transport.links[self.name]
                 return self._close()
             message, size = found
-            data = self.edge.close(message)
-            with self.edge.lock:
+            data = self.transport.close(message)
+            with self.transport.lock:
                 self.bytes -= size
             try:
                 if self.sock is None:
-                    self.sock = self.edge.connect(self.address)
+                    self.sock = self.transport.connect(self.address)
                 self.sock.sendall(data)
-                self.edge.traffic["sent"] += 1
-                self.edge.traffic["sent bytes"] += len(data)
+                self.transport.traffic["sent"] += 1
+                self.transport.traffic["sent bytes"] += len(data)
             except OSError:
-                self.edge.traffic["send failed"] += 1
+                self.transport.traffic["send failed"] += 1
                 self._close()
                 self._drop()
                 pause.wait(PAUSE_S)
 
     def _drop(self) -> None:
         """What waits is older than what the core will say once it notices: it goes, too."""
-        with self.edge.lock:
+        with self.transport.lock:
             while not self.waiting.empty():
                 if (found := self.waiting.get()) is None:
                     self.waiting.put(None)
                     return
                 self.bytes -= found[1]
-                self.edge.traffic["dropped"] += 1
+                self.transport.traffic["dropped"] += 1
 
     def _close(self) -> None:
         if self.sock is not None:
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class LinkKind:
     """What tells one subsystem's links from another's."""
 
     name: str  # begins the names of its threads
@@ -103,12 +103,12 @@
     size: Callable[[Message], int]  # bytes of a message's frame, about
 
 
-class Edge:
+class TcpTransport:
     """The listener, the connections that were taken, and a link for each peer that is spoken to."""
 
     def __init__(
         self,
-        kind: Kind,
+        kind: LinkKind,
         listener: socket.socket,
         host: str,
         uid: int,
@@ -117,7 +117,7 @@
         start: Start,
     ) -> None:
         self.kind, self.listener, self.host, self.got, self.start = kind, listener, host, got, start
-        self.seal = Seal(uid, keys, kind.decode, kind.version, MOST)
+        self.seal = Seal(uid, keys, kind.decode, kind.version, MAX_FRAME_BYTES)
         self.traffic: Counter[str] = Counter()
         self.lock = threading.Lock()
         self.links: dict[str, Link] = {}
@@ -167,10 +167,10 @@
         if fresh:
             self.start(f"{self.kind.name}-to-{name}", link.run)
 
-    def roll(self, keys: list[tuple[int, bytes]]) -> None:
+    def rotate_keys(self, keys: list[tuple[int, bytes]]) -> None:
         """Use other keys from now on."""
         with self.lock:
-            self.seal.roll(keys)
+            self.seal.rotate_keys(keys)
 
     def run(self) -> None:
         """Take connections until the listener is closed."""
@@ -208,7 +208,7 @@
                         self.traffic["cut off"] += 1
                         return
                     length = LENGTH.unpack(head)[0]
-                    if length > MOST:
+                    if length > MAX_FRAME_BYTES:
                         self.traffic["too long"] += 1
                         return
                     data = stream.read(length)
--- a/willownotch/mesh.py
+++ b/willownotch/mesh.py
@@ -20,10 +20,10 @@
 from willownotch.files.layer import Files
 from willownotch.files.space import BLOCK, Space
 from willownotch.peers.core import Membership
-from willownotch.peers.edge import Budget, Edge
 from willownotch.peers.keys import load_keys
 from willownotch.peers.node import Layer, Node
 from willownotch.peers.seal import Seal
+from willownotch.peers.transport import Budget, UdpTransport
 from willownotch.peers.wire import Address
 from willownotch.usage.service import UsageService
 
@@ -127,7 +127,7 @@
             raise
         self.keeper: Keeper | None = None
         if listener is not None:
-            from willownotch.links.edge import Edge as Links
+            from willownotch.links.transport import TcpTransport as Links
             from willownotch.replica.service import LINKS, Keeper
 
             links = Links(
@@ -153,38 +153,38 @@
             )
             self.keeper.there = self.alive_members
         node = Node(membership, layers)
-        self.edge = Edge(
+        self.transport = UdpTransport(
             self.sock, node, Seal(uid, keys, node.decode), settings.budget, lambda text: say("peers", text)
         )
         if self.counting is not None:
-            self.counting.lock = self.edge.lock
+            self.counting.lock = self.transport.lock
         if self.shared is not None:
-            self.shared.lock = self.edge.lock
+            self.shared.lock = self.transport.lock
         if self.leases is not None:
-            self.leases.lock = self.edge.lock
+            self.leases.lock = self.transport.lock
             if self.keeper is not None:
-                self.leases.does["forget"] = self.keeper.forget
+                self.leases.act_handlers["forget"] = self.keeper.forget
         hooks = [part.before for part in (self.counting, self.shared, self.leases) if part is not None]
-        self.edge.before = lambda now: [hook(now) for hook in hooks]
+        self.transport.before = lambda now: [hook(now) for hook in hooks]
 
     def alive_members(self) -> dict[str, tuple[int, Address]]:
         """Returns the uid and address of each other member, by name, suspected ones included."""
-        with self.edge.lock:
-            return {m.name: (m.uid, m.address) for m in self.edge.node.membership.alive()}
+        with self.transport.lock:
+            return {m.name: (m.uid, m.address) for m in self.transport.node.membership.alive()}
 
     def start(self, start: Start) -> None:
         """Starts the threads. `start` runs a function on a thread whose end stops the sender."""
         self._start = start
-        start("peers", lambda: self.edge.run(self.blocks.peers.seeds))
+        start("peers", lambda: self.transport.run(self.blocks.peers.seeds))
         if self.keeper is not None:
             start("custody", self.keeper.run)
-            start("custody-in", self.keeper.edge.run)
+            start("custody-in", self.keeper.transport.run)
         if self.keeper is not None and self.leases is not None and SWEEP_DUTY in self.blocks.lease.duty:
             start("sweep", self._sweep)
         if self.counting is not None:
             start("usage", self.counting.run_compaction)
         host, port = self.sock.getsockname()
-        self.say("peers", f"{self.edge.node.membership.name} listens for peers on {host}:{port}")
+        self.say("peers", f"{self.transport.node.membership.name} listens for peers on {host}:{port}")
 
     def _sweep(self) -> None:
         """While this sender holds the duty, has all witnesses forget finished books."""
@@ -199,7 +199,7 @@
 
     def register_handlers(self, server: Server) -> None:
         """Registers the handlers for control requests about peers."""
-        server.handlers["peers"] = lambda about: self.edge.view()
+        server.handlers["peers"] = lambda about: self.transport.view()
         if self.counting is not None:
             server.handlers["usage"] = self.counting.answer
         if self.leases is not None:
@@ -210,7 +210,7 @@
             server.handlers["replica"] = lambda about: self.keeper.view()
 
     def _shared_view(self) -> SharedView:
-        with self.edge.lock:
+        with self.transport.lock:
             return self.shared.view(time.monotonic())
 
     def reload(self, blocks: Blocks) -> str:
@@ -220,16 +220,16 @@
         """
         old, new = self.blocks, blocks
         keys = load_keys(new.peers.keys) if new.peers.keys else None
-        with self.edge.lock:
+        with self.transport.lock:
             if keys is not None:
-                self.edge.seal.roll(keys)
+                self.transport.seal.rotate_keys(keys)
                 if self.keeper is not None:
-                    self.keeper.edge.roll(keys)
+                    self.keeper.transport.rotate_keys(keys)
             if self.keeper is not None:
                 self.keeper.configure(new.replica, self._space.room)
             if new.peers != old.peers:
-                self.edge.node.membership.settings = new.peers
-                self.edge.budget = Budget(new.peers.budget, time.monotonic())
+                self.transport.node.membership.settings = new.peers
+                self.transport.budget = Budget(new.peers.budget, time.monotonic())
             if self.leases is not None:
                 self.leases.reload(new.lease)
             if self.shared is not None:
@@ -256,11 +256,11 @@
     def stop(self) -> None:
         """Leaves the membership: sends the last counts, then tells the others that this sender is leaving."""
         if self.leases is not None:
-            self.edge.last(self.leases.layer.leave)
+            self.transport.send_last(self.leases.layer.leave)
         if self.keeper is not None:
             self.keeper.stop()
         if self.counting is not None:
             self.counting.close()
-            if self.edge.node.membership.size() > 1:
+            if self.transport.node.membership.size() > 1:
                 threading.Event().wait(LINGER_S)
-        self.edge.stop()
+        self.transport.stop()
--- a/willownotch/peers/core.py
+++ b/willownotch/peers/core.py
@@ -20,11 +20,11 @@
 from math import log, log10
 from random import Random
 
-from willownotch.peers.rumours import Rumours, times
+from willownotch.peers.rumours import Rumours, max_transmissions
 from willownotch.peers.settings import PeersSettings
-from willownotch.peers.wire import Ack, Address, Message, Nack, Ping, PingFor, Rumour, State, Sync, encode
+from willownotch.peers.wire import Ack, Address, Message, Nack, Ping, PingRequest, Rumour, State, Sync, encode
 
-DATAGRAM = 1200  # bytes of a message at the most, what the transport adds not counted
+MAX_MESSAGE_BYTES = 1200  # bytes of a message at the most, what the transport adds not counted
 NACK_SHARE = 0.8  # of the patience, after which who was asked says that it heard nothing
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class MembershipEvent:
     """A change, and why."""
 
     name: str
@@ -57,7 +57,7 @@
     why: str
 
 
-Action = Send | News
+Action = Send | MembershipEvent
 
 
 @dataclass(slots=True)
@@ -186,7 +186,7 @@
                 member.heard_at = self.now
             if isinstance(message, Ping):
                 self._pinged(address, message)
-            elif isinstance(message, PingFor):
+            elif isinstance(message, PingRequest):
                 self._asked(address, message)
             elif isinstance(message, Ack):
                 self._acked(message)
@@ -247,9 +247,10 @@
         )
         for other in others:
             probe.nacks_wanted += 1
-            bare = PingFor(sequence, member.name, *member.address, self.name)
+            bare = PingRequest(sequence, member.name, *member.address, self.name)
             self._send(
-                other.address, PingFor(sequence, member.name, *member.address, self.name, self._ride(bare))
+                other.address,
+                PingRequest(sequence, member.name, *member.address, self.name, self._ride(bare)),
             )
 
     def _on_missed(self, sequence: int) -> None:
@@ -275,7 +276,7 @@
         bare = Ack(ping.sequence, self.name)
         self._send(address, Ack(ping.sequence, self.name, self._ride(bare)))
 
-    def _asked(self, address: Address, ask: PingFor) -> None:
+    def _asked(self, address: Address, ask: PingRequest) -> None:
         sequence = next(self._count)
         self._relayed[sequence] = Relayed(ask.sequence, address)
         bare = Ping(sequence, ask.name, self.name)
@@ -418,7 +419,9 @@
         if rumour.uid != self.uid:
             # A former process of this name, or a second one. Spoken of as there: it has to be outlived.
             if rumour.state <= State.SUSPECT and rumour.address != self.address:
-                self._actions.append(News(self.name, Change.CONFLICT, f"{rumour.address} claims this name"))
+                self._actions.append(
+                    MembershipEvent(self.name, Change.CONFLICT, f"{rumour.address} claims this name")
+                )
             return
         if rumour.state is State.ALIVE and rumour.incarnation <= self.incarnation:
             return
@@ -443,8 +446,8 @@
         self._rumours.add(rumour)
 
     def _ride(self, bare: Message, first: Rumour | None = None) -> tuple[Rumour, ...]:
-        room = DATAGRAM - len(encode(bare)) - 8
-        return self._rumours.take(room, times(self.size(), self.settings.retransmit), first)
+        room = MAX_MESSAGE_BYTES - len(encode(bare)) - 8
+        return self._rumours.take(room, max_transmissions(self.size(), self.settings.retransmit), first)
 
     def _on_gossip(self, _: object) -> None:
         """Pass fresh rumours on, also where probes are slow: a refutation must be there before a suspect is
@@ -494,7 +497,7 @@
     def _tell_all(self, address: Address, wanted: bool) -> None:
         """All that is known, in pieces of one datagram each; only the first asks for the other's."""
         part: list[Rumour] = [self._own()]
-        room = DATAGRAM - len(encode(Sync(self.name, wanted, ()))) - 8
+        room = MAX_MESSAGE_BYTES - len(encode(Sync(self.name, wanted, ()))) - 8
         left = room - len(encode(part[0]))
         for member in self.members.values():
             rumour = member.rumour(self.name)
@@ -519,7 +522,7 @@
         self._actions.append(Send(address, message))
 
     def _tell(self, member: Member, change: Change, why: str) -> None:
-        self._actions.append(News(member.name, change, why))
+        self._actions.append(MembershipEvent(member.name, change, why))
 
     def _done(self) -> list[Action]:
         actions, self._actions = self._actions, []
--- a/willownotch/peers/lossy.py
+++ b/willownotch/peers/lossy.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from willownotch.peers.core import Action, Change, Membership, News
+from willownotch.peers.core import Action, Change, Membership, MembershipEvent
 from willownotch.peers.node import Layer, Node
 from willownotch.peers.settings import PeersSettings
 from willownotch.peers.wire import Address, Message, Sync, encode
 
 
 @dataclass(slots=True)
-class Weather:
+class Conditions:
     """How bad the network is. Times are seconds, the rest shares."""
 
     loss: float = 0.0
@@ -56,16 +56,16 @@
     offset."""
 
     def __init__(
-        self, seed: int, weather: Weather | None = None, settings: PeersSettings | None = None
+        self, seed: int, conditions: Conditions | None = None, settings: PeersSettings | None = None
     ) -> None:
-        self.random, self.weather = Random(seed), weather or Weather()
+        self.random, self.conditions = Random(seed), conditions or Conditions()
         self.settings = settings or PeersSettings()
         self.now, self._order = 0.0, 0
         self.members: dict[str, Membership] = {}
         self.nodes: dict[str, Node] = {}
         self.offsets: dict[str, float] = {}
         self.paused: set[str] = set()
-        self.news: list[tuple[float, str, News]] = []  # when, who noticed, what
+        self.news: list[tuple[float, str, MembershipEvent]] = []  # when, who noticed, what
         self.traffic: dict[str, Traffic] = {}
         self.addresses: dict[str, Address] = {}
         self._at: dict[Address, str] = {}
@@ -112,7 +112,7 @@
         self.nodes[name] = node
         self._carry(name, node.start(self.now + self.offsets[name], seeds))
 
-    def place(self, name: str, node: Node) -> Address:
+    def add_node(self, name: str, node: Node) -> Address:
         """Start a node of another kind, for comparison: an address of its own, and no offset."""
         address = ("10.0.0.1", 1000 + len(self._at))
         self._at[address], self.offsets[name] = name, 0.0
@@ -121,7 +121,7 @@
         self.put(name, node, [])
         return address
 
-    def acquaint(self) -> None:
+    def introduce_all(self) -> None:
         """Let all know of all, as if they had been together for long."""
         for name, member in self.members.items():
             for other in self.members.values():
@@ -163,13 +163,13 @@
             self.run(self.now + step)
         return self.now - began
 
-    def living(self) -> list[str]:
+    def running_members(self) -> list[str]:
         """Names of members that run."""
         return [name for name in self.members if name not in self.paused]
 
     def all_know(self, names: set[str]) -> bool:
         """Whether every running member takes just these to be there."""
-        return all({m.name for m in self.members[n].alive()} | {n} == names for n in self.living())
+        return all({m.name for m in self.members[n].alive()} | {n} == names for n in self.running_members())
 
     def count(self, change: Change) -> int:
         """How often any member noticed such a change."""
@@ -177,7 +177,7 @@
 
     def _carry(self, name: str, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, News):
+            if isinstance(action, MembershipEvent):
                 self.news.append((self.now, name, action))
             else:
                 self._post(name, action.address, action.message)
@@ -188,17 +188,17 @@
             self._push(Due(at, self._next(), name))
 
     def _post(self, name: str, address: Address, message: msgspec.Struct) -> None:
-        weather, data = self.weather, encode(message)
+        conditions, data = self.conditions, encode(message)
         traffic = self.traffic[name]
         traffic.datagrams += 1
         traffic.bytes += len(data)
         traffic.layers += len(data) * (not isinstance(message, Message))
         target = self._at.get(address)
-        if target is None or weather.cut(name, target):
+        if target is None or conditions.cut(name, target):
             return
-        for _ in range(1 + (self.random.random() < weather.repeat)):
-            if self.random.random() >= weather.loss:
-                at = self.now + weather.delay + self.random.random() * weather.jitter
+        for _ in range(1 + (self.random.random() < conditions.repeat)):
+            if self.random.random() >= conditions.loss:
+                at = self.now + conditions.delay + self.random.random() * conditions.jitter
                 self._push(Due(at, self._next(), target, self.addresses[name], data))
 
     def _push(self, due: Due) -> None:
--- a/willownotch/peers/node.py
+++ b/willownotch/peers/node.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from willownotch.peers import wire
-from willownotch.peers.core import Action, Membership, News, Send
+from willownotch.peers.core import Action, Membership, MembershipEvent, Send
 from willownotch.peers.wire import Address, State
 
 
@@ -77,14 +77,14 @@
         return self.membership.leave(now)
 
 
-def there(membership: Membership) -> list[tuple[str, Address]]:
+def alive_members(membership: Membership) -> list[tuple[str, Address]]:
     """The others that answer, by name, suspects among them."""
     return [(member.name, member.address) for member in membership.alive()]
 
 
-def silent(membership: Membership, now: float, most_s: float) -> list[str]:
+def recently_dead(membership: Membership, now: float, most_s: float) -> list[str]:
     """Those that went without a word, not longer than so many seconds ago."""
     return [m.name for m in membership.members.values() if m.state is State.DEAD and now - m.since <= most_s]
 
 
-__all__ = ["Layer", "News", "Node", "Send", "decoder", "silent", "there"]
+__all__ = ["Layer", "MembershipEvent", "Node", "Send", "decoder", "recently_dead", "alive_members"]
--- a/willownotch/peers/rumours.py
+++ b/willownotch/peers/rumours.py
@@ -14,7 +14,7 @@
 SMALLEST = 20  # bytes of a rumour
 
 
-def times(members: int, retransmit: int) -> int:
+def max_transmissions(members: int, retransmit: int) -> int:
     """How often a rumour is passed on among so many members."""
     return max(1, retransmit * ceil(log10(members + 1)))
 
--- a/willownotch/peers/seal.py
+++ b/willownotch/peers/seal.py
@@ -26,7 +26,7 @@
 VERSION = 1
 HEAD = Struct("<BB6sQ")
 TAG, KEY = 16, 32  # bytes
-MOST = 1400  # bytes of a datagram: within one Ethernet frame, whatever IP and UDP add
+MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: within one Ethernet frame, whatever IP and UDP add
 WINDOW = 1024  # counters behind the highest seen that may still come: datagrams overtake each other
 SENDERS = 4096  # processes whose counters are remembered; the one heard longest ago goes first
 
@@ -90,7 +90,7 @@
         keys: list[tuple[int, bytes]],
         read: Callable[[bytes], msgspec.Struct] = decode,
         version: int = VERSION,
-        most: int = MOST,
+        most: int = MAX_DATAGRAM_BYTES,
     ) -> None:
         self.uid, self.keys, self._read = uid.to_bytes(6, "little"), keys, read
         self.version, self.most = version, most
@@ -98,7 +98,7 @@
         self._counter = 0
         self._seen: dict[bytes, Seen] = {}
 
-    def roll(self, keys: list[tuple[int, bytes]]) -> None:
+    def rotate_keys(self, keys: list[tuple[int, bytes]]) -> None:
         """Use other keys from now on."""
         self.keys = keys
 
--- a/willownotch/peers/edge.py
+++ b/willownotch/peers/transport.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from willownotch.peers.core import Action, News
+from willownotch.peers.core import Action, MembershipEvent
 from willownotch.peers.node import Node
-from willownotch.peers.seal import MOST, Seal
+from willownotch.peers.seal import MAX_DATAGRAM_BYTES, Seal
 from willownotch.peers.wire import Address, Message
 
 ROUND_MOST = 64  # datagrams taken before the timers are looked at again
@@ -69,12 +69,12 @@
     refused: dict[str, int]
 
 
-def shown(address: Address) -> str:
+def format_address(address: Address) -> str:
     """As `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
-class Edge:
+class UdpTransport:
     """Runs a node. `before` is called in each round before anything else, with the time."""
 
     def __init__(
@@ -121,7 +121,7 @@
     def _receive(self, wait: float) -> tuple[bytes, Address] | None:
         self.sock.settimeout(wait)
         try:
-            return self.sock.recvfrom(2 * MOST)
+            return self.sock.recvfrom(2 * MAX_DATAGRAM_BYTES)
         except (BlockingIOError, TimeoutError):
             return None
         except OSError:  # an earlier datagram found nobody
@@ -137,7 +137,7 @@
 
     def _carry(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, News):
+            if isinstance(action, MembershipEvent):
                 self.say(f"{action.name} {action.change.value}: {action.why}")
             else:
                 self._send(action.address, action.message)
@@ -160,7 +160,7 @@
         self.traffic["sent"] += 1
         self.traffic["sent bytes"] += len(data)
 
-    def last(self, words: Callable[[float], list[Action]]) -> None:
+    def send_last(self, words: Callable[[float], list[Action]]) -> None:
         """Send what a layer has to say at the end; any other thread may call it."""
         with self.lock:
             self._carry(words(time.monotonic()))
@@ -179,7 +179,7 @@
             members = tuple(
                 PeerView(
                     m.name,
-                    shown(m.address),
+                    format_address(m.address),
                     m.state.name.lower(),
                     m.why,
                     round(now - m.since, 3),
@@ -190,7 +190,7 @@
             )
             return PeersView(
                 own.name,
-                shown(own.address),
+                format_address(own.address),
                 own.health,
                 own.incarnation,
                 members,
--- a/willownotch/peers/wire.py
+++ b/willownotch/peers/wire.py
@@ -44,7 +44,7 @@
     rumours: tuple[Rumour, ...] = ()
 
 
-class PingFor(msgspec.Struct, tag=2, frozen=True, array_like=True):
+class PingRequest(msgspec.Struct, tag=2, frozen=True, array_like=True):
     """Ask another for me, and say also if it does not answer."""
 
     sequence: int
@@ -78,6 +78,6 @@
     rumours: tuple[Rumour, ...] = ()
 
 
-Message = Ping | PingFor | Ack | Nack | Sync
+Message = Ping | PingRequest | Ack | Nack | Sync
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
--- a/willownotch/replica/service.py
+++ b/willownotch/replica/service.py
@@ -24,7 +24,7 @@
 from willownotch.files.space import Space
 from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, NoticeAnswered, Record, frame
 from willownotch.journal.records import Custody as Mark
-from willownotch.links.edge import Edge, Kind
+from willownotch.links.transport import LinkKind, TcpTransport
 from willownotch.replica import core as cores
 from willownotch.replica import wire
 from willownotch.replica.books import Stage
@@ -36,7 +36,7 @@
 LOG_S = 10.0  # between two lines on messages that no copies can be had for
 WITNESS_OF = (wire.Granted, wire.Acked)  # what may be said only once it is in the folder
 
-LINKS = Kind(
+LINKS = LinkKind(
     "custody", wire.VERSION, wire.decode, lambda message: sum(map(len, getattr(message, "frames", ()))) + 200
 )
 
@@ -117,7 +117,7 @@
         settings: ReplicaSettings,
         name: str,
         life: int,
-        edge: Edge,
+        transport: TcpTransport,
         folder: Path,
         files: Files,
         space: Space,
@@ -125,7 +125,7 @@
         say: Callable[[str], None],
         now: Callable[[], datetime],
     ) -> None:
-        self.settings, self.name, self.edge, self.say, self.now = settings, name, edge, say, now
+        self.settings, self.name, self.transport, self.say, self.now = settings, name, transport, say, now
         self.store = Store(folder, files, space, say)
         self.core = cores.Custody(
             name,
@@ -361,7 +361,7 @@
 
     def _look(self, now: float) -> list[cores.Action]:
         there = self.there()
-        self.edge.addresses = {name: address for name, (_, address) in there.items()}
+        self.transport.addresses = {name: address for name, (_, address) in there.items()}
         actions = self.core.members(now, {name: uid for name, (uid, _) in there.items()})
         return actions + self.core.tick(now, self.now())
 
@@ -378,7 +378,7 @@
             for action in actions:
                 if isinstance(action, cores.Send):
                     if kept or not isinstance(action.message, WITNESS_OF):
-                        self.edge.send(action.to, action.message)
+                        self.transport.send(action.to, action.message)
                 elif isinstance(action, cores.Say):
                     self.say(action.text)
                 elif isinstance(action, cores.Won):
@@ -523,8 +523,8 @@
             tuple(copies),
             len(self.core.register),
             {book: len(index.refs) for book, index in self.core.indexes.items()},
-            dict(self.edge.traffic),
-            dict(self.edge.seal.refused),
+            dict(self.transport.traffic),
+            dict(self.transport.seal.refused),
             dict(self.counts),
         )
 
--- a/willownotch/replica/terms.py
+++ b/willownotch/replica/terms.py
@@ -9,8 +9,7 @@
 
 import msgspec
 
-from willownotch.lease.register import Register as Grants
-from willownotch.lease.register import Wanted
+from willownotch.lease.register import GrantRequest, GrantTable
 from willownotch.replica.wire import About, Claim, Granted, Refused
 
 BOOKS_MOST = 8192  # kept at the most; of those that are over, the oldest go first
@@ -31,7 +30,7 @@
     """The books that this member is a witness of. `began` is the start of this process."""
 
     def __init__(self, began: float, span: float) -> None:
-        self.grants = Grants(began, span)
+        self.grants = GrantTable(began, span)
         self.held: dict[str, Term] = {}
 
     def __len__(self) -> int:
@@ -46,7 +45,7 @@
         """The answer to a claim, and what must be in the folder before it is given."""
         about = claim.about
         held = self.held.get(claim.book) or Term(claim.book, 0, NOBODY)
-        wanted = Wanted(
+        wanted = GrantRequest(
             claim.term, about.owner, about.life, claim.span_ms / 1000, claim.release, claim.closed
         )
         # Its first owner may have it at once: nobody else knows of it.
--- a/willownotch/shared/layer.py
+++ b/willownotch/shared/layer.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from willownotch.peers.core import Membership, Send
-from willownotch.peers.node import there
+from willownotch.peers.node import alive_members
 from willownotch.peers.wire import Address
 from willownotch.shared.budgets import Budgets, Loan, LoanRequest
 from willownotch.shared.judgements import Judgements, Row
@@ -69,7 +69,7 @@
         """Requests missing parts of budgets and sends new judgements."""
         self._due_at = now + self.exchange_s() * self.random.uniform(0.9, 1.1)
         self._rounds += 1
-        others = dict(there(membership))
+        others = dict(alive_members(membership))
         sends = []
         if self.budgets is not None:
             for name, requests in self.budgets.loan_requests(now, sorted(others)).items():
--- a/willownotch/usage/layer.py
+++ b/willownotch/usage/layer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from willownotch.peers.core import Membership, Send
-from willownotch.peers.node import silent, there
+from willownotch.peers.node import alive_members, recently_dead
 from willownotch.peers.wire import Address
 from willownotch.usage.core import Usage
 from willownotch.usage.wire import Ask, Message, Tell
@@ -31,7 +31,7 @@
         if membership.leaving:
             return []
         return self.usage.exchange(
-            now, there(membership), silent(membership, now, settings.gone.total_seconds())
+            now, alive_members(membership), recently_dead(membership, now, settings.gone.total_seconds())
         )
 
     def receive(self, now: float, address: Address, message: Message) -> list[Send]:
--- a/willownotch/usage/simulated.py
+++ b/willownotch/usage/simulated.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from willownotch.peers.lossy import Network, Weather
+from willownotch.peers.lossy import Conditions, Network
 from willownotch.peers.settings import PeersSettings
 from willownotch.usage.core import Session, Usage
 from willownotch.usage.layer import Exchanges
@@ -46,11 +46,11 @@
     def __init__(
         self,
         seed: int,
-        weather: Weather | None = None,
+        conditions: Conditions | None = None,
         settings: UsageSettings | None = None,
         peers: PeersSettings | None = None,
     ) -> None:
-        self.net = Network(seed, weather, peers)
+        self.net = Network(seed, conditions, peers)
         self.random, self.settings = Random(seed + 1), settings or UsageSettings()
         self.running: dict[str, Instance] = {}
         self.truth: dict[Key, int] = {}
