--- a/benchmarks/capacity/fleet_roles.py
+++ b/benchmarks/capacity/fleet_roles.py
@@ -487,20 +487,22 @@
         for name, sender in fleet.senders.items():
             for _ in range(int(events * 0.1) + (random.random() < events * 0.1 % 1)):
                 count += 1
-                if sender.take(f"r{count}", 1, 60.0):
+                if sender.accept(f"r{count}", 1, 60.0):
                     taken_at[f"r{count}"] = fleet.now
                     late.append((name, f"r{count}"))
         waiting = []
         for name, ref in late:
             if ref in fleet.promised:
-                fleet.senders[name].send(ref)
+                fleet.senders[name].begin_call(ref)
             else:
                 waiting.append((name, ref))
         late[:] = waiting
 
     found = over(fleet, span, step)
     state = statistics.mean(
-        state_bytes(fleet.senders[n].core.copies, fleet.senders[n].core.owned, fleet.senders[n].core.indexes)
+        state_bytes(
+            fleet.senders[n].core.copies, fleet.senders[n].core.owned, fleet.senders[n].core.id_indexes
+        )
         for n in ("m0", "m1", "m2")
     )
     promised = sum(ref in fleet.promised for ref in taken_at)
@@ -512,7 +514,7 @@
     fleet = custody_of(8, 0.0, seed)
     holder = fleet.senders["m0"]
     for n in range(held):
-        holder.take(f"r{n}", 1, 10_000.0)
+        holder.accept(f"r{n}", 1, 10_000.0)
         if n % 50 == 49:
             fleet.run(0.05)
     patience = 300.0
@@ -520,16 +522,16 @@
     fleet.run(2.0)
     rest = over(fleet, 5.0)
     owned = next(o for o in holder.core.owned.values() if o.open)
-    lost = owned.about.replicas[0]
-    state = state_bytes(holder.core.owned, holder.core._ids)
-    copy_state = state_bytes(fleet.senders[owned.about.replicas[1]].core.copies)
+    lost = owned.config.replicas[0]
+    state = state_bytes(holder.core.owned, holder.core._id_logs)
+    copy_state = state_bytes(fleet.senders[owned.config.replicas[1]].core.copies)
     _, before = fleet.spent()
     fleet.loss = loss
     fleet.kill(lost, disk=True)
     cpu = time.process_time()
 
     def whole() -> bool:
-        names = owned.about.replicas
+        names = owned.config.replicas
         return (
             owned.proposed is None
             and lost not in names
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 import harness
-from custodial import Custodial
+from custody_fleet import CustodyFleet
 from harness import until
 
 from willownotch.net import http
@@ -32,16 +32,16 @@
 SHARP = " period 200ms\n patience 100ms\n suspicion 2\n gossip 50ms\n sync 1s\n rejoin 500ms\n budget 1MB\n"
 
 
-def fleet_of(number: int, acks: int, copies: int, serving: bool, lease: str = "600ms") -> Custodial:
+def fleet_of(number: int, acks: int, copies: int, serving: bool, lease: str = "600ms") -> CustodyFleet:
     """Senders that know each other and can take messages on."""
-    fleet = Custodial(
+    fleet = CustodyFleet(
         number,
         Path(tempfile.mkdtemp()),
         f" acks {acks}\n copies {copies}\n lease {lease}\n",
         serving,
         peers=SHARP,
     )
-    return fleet.wait_joined(60.0).able()
+    return fleet.wait_joined(60.0).wait_ready()
 
 
 def waited(check: Callable[[], object], patience: float) -> bool:
@@ -62,17 +62,17 @@
     """One trial: messages on one holder, then k machines gone, replicas of it after itself."""
     fleet = fleet_of(MEMBERS, acks, copies, serving=False)
     try:
-        refs = fleet.take(0, MESSAGES, "status", left=10000)
-        fees = fleet.take(0, MESSAGES // 3, "fee", left=10000)
+        refs = fleet.accept(0, MESSAGES, "status", left=10000)
+        fees = fleet.accept(0, MESSAGES // 3, "fee", left=10000)
         found = fleet.custody(0)
         replicas = [int(r["name"][1:]) for b in found["books"] if b["messages"] for r in b["replicas"]]
         # Those that answer last hold least: the worst case for what is promised by W of them.
         gone = [0, *replicas[: k - 1]]
-        fleet.lose(*gone)
+        fleet.lose_machines(*gone)
         at = time.monotonic()
-        until(lambda: fleet.took() or fleet.discovery.notices, 15.0)
+        until(lambda: fleet.takeovers() or fleet.discovery.notices, 15.0)
         taken_s = time.monotonic() - at
-        fleet.serve()
+        fleet.start_serving()
         ended = waited(
             lambda: {*fleet.host.refs(), *(n["message"] for n in fleet.discovery.notices)} >= {*refs, *fees},
             12.0,
@@ -134,7 +134,7 @@
 class Client(threading.Thread):
     """Hands messages in on one connection, one after the other."""
 
-    def __init__(self, fleet: Custodial, n: int, number: int, count: int) -> None:
+    def __init__(self, fleet: CustodyFleet, n: int, number: int, count: int) -> None:
         super().__init__(daemon=True)
         self.sender, self.n, self.number, self.count = fleet.senders[n], n, number, count
         self.took: list[float] = []
@@ -168,11 +168,11 @@
     for _ in range(TRIALS):
         for acks in (0, 1, 2):
             extra = " class fee {\n acks 1\n }\n" if not acks else ""
-            fleet = Custodial(
+            fleet = CustodyFleet(
                 4, Path(tempfile.mkdtemp()), f" acks {acks}\n copies 2\n lease 3s\n{extra}", True, peers=SHARP
             )
             try:
-                fleet.wait_joined(60.0).able()
+                fleet.wait_joined(60.0).wait_ready()
                 before = fleet.custody(0)["traffic"]
                 clients = [Client(fleet, 0, number, 150) for number in range(4)]
                 began = time.monotonic()
@@ -257,19 +257,19 @@
         fleet.until(lambda fleet=fleet: fleet.ready(1), 60.0)
         holder = fleet.senders["m0"]
         for n in range(1000):
-            holder.take(f"r{n}", 1, 1000.0)
+            holder.accept(f"r{n}", 1, 1000.0)
         fleet.until(lambda fleet=fleet: len(fleet.promised) == 1000, 60.0)
         owned = next(iter(holder.core.owned.values()))
         size = sum(
             len(data)
-            for copy in [fleet.senders[owned.about.replicas[0]].disk.copies[owned.book]]
+            for copy in [fleet.senders[owned.config.replicas[0]].disk.copies[owned.book]]
             for data in [copy]
         )
-        fleet.kill(owned.about.replicas[0], disk=True)
+        fleet.kill(owned.config.replicas[0], disk=True)
         took = fleet.until(
             lambda owned=owned, fleet=fleet: owned.proposed is None
             and all(
-                n in fleet.senders and owned.followers[n].acked == owned.last for n in owned.about.replicas
+                n in fleet.senders and owned.followers[n].acked == owned.last for n in owned.config.replicas
             ),
             60.0,
         )
--- a/tests/custodial.py
+++ b/tests/custody_fleet.py
@@ -17,7 +17,7 @@
 PATIENCE = 20.0
 
 
-class Custodial(MeshFleet):
+class CustodyFleet(MeshFleet):
     """Senders that copy orders, statuses and fees to others. Their host can be kept from serving."""
 
     def __init__(self, number, tmp_path, replica="", serving=False, **more):
@@ -30,7 +30,7 @@
             self.discovery.entries = [self.discovery.entry(0, self.host, "Terminating")]
         return super().settings(n).replace("usage {\n count yes\n}\n", "") + f"replica {{\n{self.replica}}}\n"
 
-    def serve(self):
+    def start_serving(self):
         """From now on the host takes calls."""
         self.discovery.index += 1
         self.discovery.entries = [self.discovery.entry(0, self.host)]
@@ -46,7 +46,7 @@
     def custody(self, n):
         return ask(self.socket(n), "replica")
 
-    def able(self, among=None, witnesses=None):
+    def wait_ready(self, among=None, witnesses=None):
         """Wait until messages can be taken on, by all or by some, in a book with as many witnesses as can be:
         one with fewer is rolled soon."""
         witnesses = witnesses or witness_count(len(self.running()), ReplicaSettings().witnesses)
@@ -64,7 +64,7 @@
             for b in found["books"]
         )
 
-    def take(self, n, count=1, cls="status", **more):
+    def accept(self, n, count=1, cls="status", **more):
         """Hand messages in that are to be taken on; their ids."""
         refs = []
         more.setdefault("left", 15000)  # longer than a story takes
@@ -75,7 +75,7 @@
             refs.append(ref)
         return refs
 
-    def lose(self, *gone):
+    def lose_machines(self, *gone):
         """Machines are lost, with their disks, at one moment."""
         for n in gone:
             self.senders[n].process.kill()
@@ -93,10 +93,12 @@
 
     def once_each(self):
         """Whether no book was taken over twice at one term."""
-        found = [re.search(r"custody: (\S+) of .* at term (\d+)", line).groups() for _, line in self.took()]
+        found = [
+            re.search(r"custody: (\S+) of .* at term (\d+)", line).groups() for _, line in self.takeovers()
+        ]
         return len(found) == len(set(found)) > 0
 
-    def took(self):
+    def takeovers(self):
         """Who says that it took a book over."""
         return [(n, line) for n, s in enumerate(self.senders) for line in s.lines if "taken over at" in line]
 
--- a/tests/test_replica_parts.py
+++ b/tests/test_replica_parts.py
@@ -21,11 +21,11 @@
 from willownotch.replica.settings import ReplicaSettings
 from willownotch.replica.store import Store
 from willownotch.replica.terms import Register
-from willownotch.replica.wire import START, About, Append, Claim, Granted, Refused
+from willownotch.replica.wire import START, Append, BookConfig, Claim, Granted, Refused
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
-ABOUT = About("a", 1, 1, ("b", "c"), ("b", "c", "d"))
-OTHER = About("b", 2, 0, (), ("b", "c", "d"))
+CONFIG = BookConfig("a", 1, 1, ("b", "c"), ("b", "c", "d"))
+OTHER = BookConfig("b", 2, 0, (), ("b", "c", "d"))
 
 
 def taken(ref, body=b"x"):
@@ -33,35 +33,35 @@
     return AcceptedMessage(ref, 7, "fee", "acme", ends_at, "k", body=body, custody=Custody("book", 1))
 
 
-def claim(about, term, release=False, closed=False):
-    return Claim(about.owner, "book", term, about, 1000, 1, release, closed)
+def claim(config, term, release=False, closed=False):
+    return Claim(config.owner, "book", term, config, 1000, 1, release, closed)
 
 
 @pytest.mark.parametrize(
     ("steps", "wanted"),
     [
-        ([(0.0, ABOUT, 1)], "granted"),
-        ([(0.0, ABOUT, 1), (0.5, OTHER, 2)], "refused"),  # the lease runs
-        ([(0.0, ABOUT, 1), (1.1, OTHER, 2)], "granted"),  # it has run out
-        ([(0.0, ABOUT, 1), (1.1, OTHER, 1)], "refused"),  # one owner a term
-        ([(0.0, ABOUT, 1), (1.1, OTHER, 2), (1.2, ABOUT, 1)], "refused"),  # the old one is fenced
-        ([(0.0, ABOUT, 1), (0.9, ABOUT, 1), (1.5, OTHER, 2)], "refused"),  # it was renewed
-        ([(0.0, ABOUT, 1), (0.1, ABOUT, 1, True), (0.2, OTHER, 2)], "granted"),  # it was released
-        ([(0.0, ABOUT, 1), (0.1, ABOUT, 1, True, True), (5.0, OTHER, 2)], "refused"),  # it is over for good
+        ([(0.0, CONFIG, 1)], "granted"),
+        ([(0.0, CONFIG, 1), (0.5, OTHER, 2)], "refused"),  # the lease runs
+        ([(0.0, CONFIG, 1), (1.1, OTHER, 2)], "granted"),  # it has run out
+        ([(0.0, CONFIG, 1), (1.1, OTHER, 1)], "refused"),  # one owner a term
+        ([(0.0, CONFIG, 1), (1.1, OTHER, 2), (1.2, CONFIG, 1)], "refused"),  # the old one is fenced
+        ([(0.0, CONFIG, 1), (0.9, CONFIG, 1), (1.5, OTHER, 2)], "refused"),  # it was renewed
+        ([(0.0, CONFIG, 1), (0.1, CONFIG, 1, True), (0.2, OTHER, 2)], "granted"),  # it was released
+        ([(0.0, CONFIG, 1), (0.1, CONFIG, 1, True, True), (5.0, OTHER, 2)], "refused"),  # it is over for good
         ([(0.5, OTHER, 7)], "refused"),  # perhaps a grant was forgotten with the folder
         ([(1.1, OTHER, 7)], "granted"),
     ],
 )
 def test_who_is_granted_a_term(steps, wanted):
     register = Register(0.0, 1.0)
-    for now, about, term, *more in steps:
-        answer, _ = register.claim(now, claim(about, term, *more))
+    for now, config, term, *more in steps:
+        answer, _ = register.claim(now, claim(config, term, *more))
     assert isinstance(answer, Granted if wanted == "granted" else Refused)
 
 
 def test_a_witness_that_restarts_keeps_what_it_granted_and_lets_the_lease_run_out():
     register = Register(0.0, 1.0)
-    _, kept = register.claim(0.0, claim(ABOUT, 3 - 2))
+    _, kept = register.claim(0.0, claim(CONFIG, 3 - 2))
     back = Register(10.0, 1.0)
     back.restore(kept)
     assert isinstance(back.claim(10.5, claim(OTHER, 2))[0], Refused)
@@ -74,7 +74,7 @@
 
 
 def test_a_copy_takes_what_follows_on_what_it_has_and_nothing_else():
-    copy = Copy("book", ABOUT, 1)
+    copy = Copy("book", CONFIG, 1)
     first = append(1, START, taken("r1"), taken("r2"))
     assert copy.matches(first) == 0
     copy.take(first, 0)
@@ -88,7 +88,7 @@
 
 
 def test_a_fill_brings_only_ranges_that_differ_and_keeps_the_order():
-    old, new = Copy("book", ABOUT, 1), Copy("book", ABOUT, 1)
+    old, new = Copy("book", CONFIG, 1), Copy("book", CONFIG, 1)
     old.take(append(1, START, *(taken(f"r{n}") for n in range(40))), 0)
     new.take(
         append(
@@ -110,7 +110,7 @@
     pieces = list(copies.parts(wanted))
     for n, piece in enumerate(pieces):
         last = old.fill(
-            wire.Fill("a", "book", 1, new.position, old.position, ranges, n, len(pieces), piece, NOW, ABOUT)
+            wire.Fill("a", "book", 1, new.position, old.position, ranges, n, len(pieces), piece, NOW, CONFIG)
         )
     assert last
     assert copies.digests(old.entries()) == mine
@@ -118,7 +118,7 @@
 
 
 def test_promises_need_their_copies_in_the_old_set_and_the_new_one():
-    book = Owned("book", 1, ABOUT, stage=Stage.OWNED, last=5)
+    book = Owned("book", 1, CONFIG, stage=Stage.OWNED, last=5)
     book.followers = {n: Follower(n, acked) for n, acked in (("b", 5), ("c", 2), ("d", 3))}
     assert (book.reached(1), book.reached(2)) == (5, 2)
     book.propose(("c", "d"))
@@ -132,11 +132,11 @@
 
 
 def test_a_set_put_on_record_is_above_all_of_the_owners_before():
-    first = Owned("book", 3, ABOUT)
-    later = Owned("book", 4, msgspec.structs.replace(ABOUT, version=first.next_version() + 7))
-    assert first.next_version() > ABOUT.version
-    assert later.next_version() > later.about.version
-    assert Owned("book", 4, ABOUT).next_version() > later.about.version  # who never heard of that one, too
+    first = Owned("book", 3, CONFIG)
+    later = Owned("book", 4, msgspec.structs.replace(CONFIG, version=first.next_version() + 7))
+    assert first.next_version() > CONFIG.version
+    assert later.next_version() > later.config.version
+    assert Owned("book", 4, CONFIG).next_version() > later.config.version  # who never heard of that one, too
 
 
 def test_frames_of_another_kind_a_repeat_and_noise_are_refused():
@@ -159,19 +159,19 @@
 
 def test_the_folder_keeps_copies_terms_and_books_through_a_torn_tail(tmp_path):
     store, _ = make_store(tmp_path)
-    copy, term = Copy("book", ABOUT, 1), Register(0.0, 1.0).claim(0.0, claim(ABOUT, 1))[1]
+    copy, term = Copy("book", CONFIG, 1), Register(0.0, 1.0).claim(0.0, claim(CONFIG, 1))[1]
     first = append(1, START, taken("r1"), taken("r2"))
     copy.take(first, 0)
-    assert store.keep([core.KeepTerm(term), core.KeepBook("own", ABOUT, 4), core.KeepCopy("book", copy)])
+    assert store.keep([core.StoreTerm(term), core.StoreBook("own", CONFIG, 4), core.StoreCopy("book", copy)])
     more = append(1, (1, 2), RelayStarted("r2", 0, NOW, "h"))
     copy.take(more, 0)
-    assert store.keep([core.KeepCopy("book", copy, more.frames, copy.position)])
+    assert store.keep([core.StoreCopy("book", copy, more.frames, copy.position)])
     with (tmp_path / "custody").open("ab") as file:
         file.write(b"wnC1\xff\xff")
     back, said = make_store(tmp_path)
     assert "6 bytes" in said[0]
     assert back.terms == {"book": term}
-    assert back.books == {"own": (ABOUT, 4)}
+    assert back.books == {"own": (CONFIG, 4)}
     found = back.copies["book"]
     assert (found.position, [e.message.ref for _, e in found.entries()]) == ((1, 3), ["r1", "r2"])
     assert found.live["r2"].may_have_run(0)
@@ -179,11 +179,11 @@
 
 def test_a_copy_begun_and_added_to_in_one_round_is_written_once(tmp_path):
     store, _ = make_store(tmp_path)
-    copy = Copy("book", ABOUT, 1)
-    begun = core.KeepCopy("book", copy)
+    copy = Copy("book", CONFIG, 1)
+    begun = core.StoreCopy("book", copy)
     more = append(1, START, taken("r1"), RelayStarted("r1", 0, NOW, "h"))
     copy.take(more, 0)
-    assert store.keep([begun, core.KeepCopy("book", copy, more.frames, copy.position)])
+    assert store.keep([begun, core.StoreCopy("book", copy, more.frames, copy.position)])
     found = make_store(tmp_path)[0].copies["book"]
     assert found.position == (1, 2)
     assert found.live["r1"].may_have_run(0)
@@ -191,26 +191,26 @@
 
 def test_the_file_is_written_anew_when_most_of_it_is_over(tmp_path):
     store, _ = make_store(tmp_path)
-    copy = Copy("book", ABOUT, 1)
-    store.keep([core.KeepCopy("book", copy)])
+    copy = Copy("book", CONFIG, 1)
+    store.keep([core.StoreCopy("book", copy)])
     for n in range(300):
         more = append(1, copy.position, taken(f"r{n}", b"x" * 1000), MessageEnded(f"r{n}", "delivered"))
         copy.take(more, 0)
-        assert store.keep([core.KeepCopy("book", copy, more.frames, copy.position)])
+        assert store.keep([core.StoreCopy("book", copy, more.frames, copy.position)])
         assert (tmp_path / "custody").stat().st_size <= 2 * store.live + 80_000
     assert make_store(tmp_path)[0].copies["book"].position == copy.position
 
 
 def test_without_room_or_with_a_failing_disk_nothing_is_kept_and_that_is_said(tmp_path):
     store, _ = make_store(tmp_path, room=8192)
-    copy = Copy("book", ABOUT, 1)
+    copy = Copy("book", CONFIG, 1)
     copy.take(append(1, START, taken("r1", b"x" * 20_000)), 0)
-    assert not store.keep([core.KeepCopy("book", copy)])
+    assert not store.keep([core.StoreCopy("book", copy)])
     (tmp_path / "two").mkdir()
     faults = []
     store, said = make_store(tmp_path / "two", Faulty(lambda: faults))
     faults += read_faults("no-space append custody*")
-    assert not store.keep([core.KeepBook("own", ABOUT, 1)])
+    assert not store.keep([core.StoreBook("own", CONFIG, 1)])
     assert "could not be written" in said[-1]
 
 
@@ -227,11 +227,11 @@
 
 
 def test_a_process_that_stood_still_holds_nobody_for_silent():
-    custody = core.Custody(
+    custody = core.CustodyCore(
         "b", 2, ReplicaSettings(acks=1, lease=timedelta(seconds=1)), 0.0, Random(1), lambda book: (0, [])
     )
     custody.members(0.0, {"a": 1, "c": 3, "d": 4})
-    custody.receive(0.0, NOW, msgspec.structs.replace(append(1, START, taken("r1")), about=ABOUT))
+    custody.receive(0.0, NOW, msgspec.structs.replace(append(1, START, taken("r1")), config=CONFIG))
     custody.members(0.1, {"c": 3, "d": 4})
     custody.tick(0.1, NOW)
     actions = custody.tick(30.0, NOW + timedelta(seconds=30))  # the deadline is past
--- a/tests/test_replica_story.py
+++ b/tests/test_replica_story.py
@@ -47,13 +47,13 @@
     def hand_in(self, name, number):
         for _ in range(number * self.running(name)):
             self.count += 1
-            self.fleet.senders[name].take(f"r{self.count}", self.wanted, 1000.0)
+            self.fleet.senders[name].accept(f"r{self.count}", self.wanted, 1000.0)
 
     @rule(name=names, share=st.integers(1, 3))
     def send(self, name, share):
         if self.running(name):
             for ref in list(self.fleet.senders[name].disk.live)[::share]:
-                self.fleet.senders[name].send(ref)
+                self.fleet.senders[name].begin_call(ref)
 
     @rule(name=names)
     def give_some_up(self, name):
@@ -113,7 +113,7 @@
             lambda: all(
                 o.stage.value == "owned"
                 and o.proposed is None
-                and all((f := o.followers.get(n)) and f.acked == o.last for n in o.about.replicas)
+                and all((f := o.followers.get(n)) and f.acked == o.last for n in o.config.replicas)
                 for s in self.fleet.senders.values()
                 for o in s.core.owned.values()
             )
@@ -169,7 +169,7 @@
     fleet = Fleet(1, NAMES[:5], ReplicaSettings(copies=2, acks=2, witnesses=5, lease=timedelta(seconds=1)))
     fleet.until(lambda: fleet.ready(2))
     core = fleet.senders["m0"].core
-    deaf = set(core.owned[core.current].about.replicas)
+    deaf = set(core.owned[core.current].config.replicas)
     fleet.around = lambda observer, name: True  # the membership knows them by way of others
     fleet.cut = lambda a, b: a in deaf and b == "m0"
     fleet.run(3.0)  # until it has found others
@@ -177,7 +177,7 @@
         fleet.run(0.05)
         assert core.usable(2, fleet.now)
     fleet.cut = lambda a, b: False
-    fleet.until(lambda: len(core.owned[core.current].about.witnesses) == 5, most=60.0)
+    fleet.until(lambda: len(core.owned[core.current].config.witnesses) == 5, most=60.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -185,12 +185,12 @@
     fleet = Fleet(seed, NAMES, ReplicaSettings(copies=2, acks=1, witnesses=5, lease=timedelta(seconds=1)))
     fleet.until(lambda: fleet.ready(1))
     sender = fleet.senders["m0"]
-    gone = ["m0", *sender.core.owned[sender.core.current].about.replicas]
+    gone = ["m0", *sender.core.owned[sender.core.current].config.replicas]
     fleet.run(1.0)
     for count in range(40):
         if count == 20:  # the keepers of ids hear of none from here on
             fleet.cut = lambda a, b: a == "m0" and b not in gone
-        sender.take(f"r{count}", 1, 10.0)
+        sender.accept(f"r{count}", 1, 10.0)
         fleet.run(0.003, step=0.001)
     assert 15 < len(fleet.promised) <= 20
     for name in gone:
@@ -205,16 +205,16 @@
     fleet.until(lambda: fleet.ready(1))
     fleet.run(1.0)
     sender = fleet.senders["m0"]
-    keepers = set(sender.core._ids[sender.core.current].keepers)
+    keepers = set(sender.core._id_logs[sender.core.current].keepers)
     assert len(keepers) == 2
     fleet.around = lambda observer, name: True
     fleet.cut = lambda a, b: a in keepers and b == "m0"
-    sender.take("r", 1, 10.0)
+    sender.accept("r", 1, 10.0)
     fleet.run(0.09, step=0.01)  # within half of the patience they are waited for
     assert not fleet.promised
     fleet.run(0.06, step=0.01)
     assert "r" in fleet.promised
-    sender.take("s", 1, 10.0)
+    sender.accept("s", 1, 10.0)
     fleet.run(0.02, step=0.01)  # by now it is known that they do not answer
     assert "s" in fleet.promised
 
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -398,15 +398,19 @@
             lambda found: decision_loop.post(SharedStateUpdate(found)),
         )
         mesh.shared.endpoints = lambda: {h.name: h.destination for h in list(hosts.by_number.values())}
-    keeper = mesh.keeper if mesh is not None else None
-    if keeper is not None:
-        decision_loop.custody = endpoint_side.custody = keeper
-        journal.shipping, keeper.entries, keeper.read_body = keeper.wrote, journal.entries, bodies.read
-        keeper.won = lambda won: decision_loop.post(BookAcquired(won))
-        keeper.lost = lambda book: decision_loop.post(BookLost(book))
-        keeper.expired = lambda expired: decision_loop.post(BookExpired(expired))
+    custody_service = mesh.custody_service if mesh is not None else None
+    if custody_service is not None:
+        decision_loop.custody = endpoint_side.custody = custody_service
+        journal.shipping, custody_service.entries, custody_service.read_body = (
+            custody_service.on_written,
+            journal.entries,
+            bodies.read,
+        )
+        custody_service.on_acquired = lambda acquired: decision_loop.post(BookAcquired(acquired))
+        custody_service.on_lost = lambda lost: decision_loop.post(BookLost(lost))
+        custody_service.on_expired = lambda expired: decision_loop.post(BookExpired(expired))
         try:
-            keeper.open(journal.live)
+            custody_service.open(journal.live)
         except OSError as fault:
             print(f"willownotch: cannot start: {fault}", file=sys.stderr)
             sys.stderr.flush()
@@ -485,7 +489,7 @@
     if following is not None:
         predecessor.release_steps.append(following.stop)
     # Custody is not handed over: the next process claims it, as any other sender would.
-    if keeper is None:
+    if custody_service is None:
         threads.start("upgrade", predecessor.run)
     log.say("start", f"listening on {config.listen[0]}:{client_side.port}, journal in {config.state}")
     received = signal.sigwait(signals)
--- a/willownotch/mesh.py
+++ b/willownotch/mesh.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from willownotch.lease.service import Leases
-    from willownotch.replica.service import Keeper
+    from willownotch.replica.service import CustodyService
     from willownotch.shared.service import SharedState, SharedView
 
 LINGER_S = 0.6  # a stopping sender answers peers for so long, so that they get its last counts
@@ -125,10 +125,10 @@
         except OSError:
             self.sock.close()
             raise
-        self.keeper: Keeper | None = None
+        self.custody_service: CustodyService | None = None
         if listener is not None:
             from willownotch.links.transport import TcpTransport as Links
-            from willownotch.replica.service import LINKS, Keeper
+            from willownotch.replica.service import LINKS, CustodyService
 
             links = Links(
                 LINKS,
@@ -136,10 +136,10 @@
                 settings.listen[0],
                 uid,
                 keys,
-                lambda message: self.keeper.post(message),
+                lambda message: self.custody_service.post(message),
                 lambda name, work: self._start(name, work),
             )
-            self.keeper = Keeper(
+            self.custody_service = CustodyService(
                 blocks.replica,
                 name,
                 uid,
@@ -151,7 +151,7 @@
                 lambda text: say("custody", text),
                 now,
             )
-            self.keeper.there = self.alive_members
+            self.custody_service.peers = self.alive_members
         node = Node(membership, layers)
         self.transport = UdpTransport(
             self.sock, node, Seal(uid, keys, node.decode), settings.budget, lambda text: say("peers", text)
@@ -162,8 +162,8 @@
             self.shared.lock = self.transport.lock
         if self.leases is not None:
             self.leases.lock = self.transport.lock
-            if self.keeper is not None:
-                self.leases.act_handlers["forget"] = self.keeper.forget
+            if self.custody_service is not None:
+                self.leases.act_handlers["forget"] = self.custody_service.forget
         hooks = [part.before for part in (self.counting, self.shared, self.leases) if part is not None]
         self.transport.before = lambda now: [hook(now) for hook in hooks]
 
@@ -176,10 +176,14 @@
         """Starts the threads. `start` runs a function on a thread whose end stops the sender."""
         self._start = start
         start("peers", lambda: self.transport.run(self.blocks.peers.seeds))
-        if self.keeper is not None:
-            start("custody", self.keeper.run)
-            start("custody-in", self.keeper.transport.run)
-        if self.keeper is not None and self.leases is not None and SWEEP_DUTY in self.blocks.lease.duty:
+        if self.custody_service is not None:
+            start("custody", self.custody_service.run)
+            start("custody-in", self.custody_service.transport.run)
+        if (
+            self.custody_service is not None
+            and self.leases is not None
+            and SWEEP_DUTY in self.blocks.lease.duty
+        ):
             start("sweep", self._sweep)
         if self.counting is not None:
             start("usage", self.counting.run_compaction)
@@ -190,7 +194,7 @@
         """While this sender holds the duty, has all witnesses forget finished books."""
         while True:
             threading.Event().wait(SWEEP_INTERVAL_S)
-            if self.leases.holds(SWEEP_DUTY) and (books := self.keeper.over()):
+            if self.leases.holds(SWEEP_DUTY) and (books := self.custody_service.closed_books()):
                 for start in range(0, len(books), MAX_BOOKS_PER_SWEEP):
                     self.leases.act(
                         SWEEP_DUTY,
@@ -206,8 +210,8 @@
             server.handlers["leases"] = lambda about: self.leases.view()
         if self.shared is not None:
             server.handlers["shared"] = lambda about: self._shared_view()
-        if self.keeper is not None:
-            server.handlers["replica"] = lambda about: self.keeper.view()
+        if self.custody_service is not None:
+            server.handlers["replica"] = lambda about: self.custody_service.view()
 
     def _shared_view(self) -> SharedView:
         with self.transport.lock:
@@ -223,10 +227,10 @@
         with self.transport.lock:
             if keys is not None:
                 self.transport.seal.rotate_keys(keys)
-                if self.keeper is not None:
-                    self.keeper.transport.rotate_keys(keys)
-            if self.keeper is not None:
-                self.keeper.configure(new.replica, self._space.room)
+                if self.custody_service is not None:
+                    self.custody_service.transport.rotate_keys(keys)
+            if self.custody_service is not None:
+                self.custody_service.configure(new.replica, self._space.room)
             if new.peers != old.peers:
                 self.transport.node.membership.settings = new.peers
                 self.transport.budget = Budget(new.peers.budget, time.monotonic())
@@ -257,8 +261,8 @@
         """Leaves the membership: sends the last counts, then tells the others that this sender is leaving."""
         if self.leases is not None:
             self.transport.send_last(self.leases.layer.leave)
-        if self.keeper is not None:
-            self.keeper.stop()
+        if self.custody_service is not None:
+            self.custody_service.stop()
         if self.counting is not None:
             self.counting.close()
             if self.transport.node.membership.size() > 1:
--- a/willownotch/net/decision_loop.py
+++ b/willownotch/net/decision_loop.py
@@ -63,7 +63,7 @@
 from willownotch.state import Ran
 
 if TYPE_CHECKING:
-    from willownotch.replica.service import Keeper
+    from willownotch.replica.service import CustodyService
     from willownotch.shared.service import BudgetParts, EndpointFindings, SharedState
 
 FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)  # for which recovered messages wait for a list of endpoints
@@ -145,7 +145,7 @@
         self.retuned: Callable[[Config], None] = lambda config: None
         self.shared: SharedState | None = None  # set if budgets or judgements are shared
         self._budget_parts: BudgetParts | None = None  # parts of budgets last received
-        self.custody: Keeper | None = None  # set if messages are replicated
+        self.custody: CustodyService | None = None  # set if messages are replicated
         self.slow_starts: SlowStartFile | None = None  # set if slow starts outlast the process
         self.stopped_at: datetime | None = None
         self._inbox: queue.SimpleQueue[QueueItem] = queue.SimpleQueue()
@@ -379,7 +379,7 @@
             self.shared.configure({t.name: t.quota_per_s for t in self.settings.tenants})
         for entry in list(self.journal.live.values()):
             if entry.message.custody is not None:
-                if self.custody is not None and self.custody.former(entry.message.custody):
+                if self.custody is not None and self.custody.is_of_former_process(entry.message.custody):
                     continue  # another sender may own its book by now: claimed first
                 entry.message = msgspec.structs.replace(entry.message, custody=None)
             if self._can_continue(entry, lost):
@@ -511,7 +511,7 @@
                 _, ended = self._unanswered_notices[item.ref]
                 self.notify(Notice(item.ref, ended.outcome, ended.retry_in_ms))
         elif isinstance(item, BookAcquired):
-            self._take_over(item.won, now, events)
+            self._take_over(item.acquired, now, events)
         elif isinstance(item, BookLost):
             self._lose_book(item.lost, now, events)
         elif isinstance(item, BookExpired):
@@ -635,7 +635,7 @@
             self.bodies.discard(message)
             item.pending.settle(Answer(Verdict.ACCEPTED))
             return
-        custody = self.custody.mark(message.message_class) if self.custody is not None else None
+        custody = self.custody.custody_for(message.message_class) if self.custody is not None else None
         # A message that was handed back may be handed in again under its id, but not while one of its relays
         # is in progress or its notice is unanswered.
         id_in_use = existing is not None or message.ref in self._unanswered_notices
@@ -1020,7 +1020,7 @@
             self.notify(Notice(ref, ended.outcome, ended.retry_in_ms))
             return
         left = max(ZERO, message.ends_at - self.clock.now()) + self.custody.settings.patience
-        self.custody.wait(
+        self.custody.notify_when_copied(
             message.custody, left, False, lambda ok: self.post(NoticeReplicated(ref)) if ok else None
         )
 
--- a/willownotch/net/decision_loop_replication.py
+++ b/willownotch/net/decision_loop_replication.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from willownotch.net.decision_loop import Delivery
-    from willownotch.replica.core import Expired, Lost, Won
+    from willownotch.replica.core import Acquired, Expired, Lost
 
 DEFAULT_RETRY_AFTER = timedelta(milliseconds=500)  # told with a rejection for which the module gave no time
 # How long a client waits for copies: at least this long, and at most this long since its message came.
@@ -36,7 +36,7 @@
         ref, pending, delivery.replicating = delivery.message.ref, delivery.pending, True
         age = self.clock.now() - (delivery.message.at or self.clock.now())
         timeout = max(MIN_COPY_WAIT, min(self.custody.settings.patience, MAX_COPY_WAIT - age))
-        self.custody.wait(
+        self.custody.notify_when_copied(
             delivery.message.custody, timeout, True, lambda ok: self.post(ReplicationEnded(ref, pending, ok))
         )
 
@@ -70,14 +70,16 @@
             if entry.message.custody is not None and entry.message.custody.book == book
         }
 
-    def _take_over(self, won: Won, now: datetime, events: list[api.Event]) -> None:
+    def _take_over(self, acquired: Acquired, now: datetime, events: list[api.Event]) -> None:
         """Continue the deliveries of a book that another sender, or a former process of this one, owned."""
-        local = self._in_book(won.book)
-        found = {entry.message.ref: entry for _, entry in won.entries}
+        local = self._in_book(acquired.book)
+        found = {entry.message.ref: entry for _, entry in acquired.entries}
         # An entry that only this folder has is kept only if the copies that answered cannot rule out that it
         # is still outstanding.
         kept = {
-            ref: e for ref, e in local.items() if ref not in found and not won.sure(e.message.custody.acks)
+            ref: e
+            for ref, e in local.items()
+            if ref not in found and not acquired.is_complete(e.message.custody.acks)
         }
         known = [
             ref
@@ -85,16 +87,18 @@
             if ref in self._outstanding or ref in self._ended_ids or ref in self._unanswered_notices
         ]
         acquired = [entry for ref, entry in found.items() if ref not in known]
-        uncertain = [e for e in acquired if e.ended is None and not won.sure(e.message.custody.acks)]
+        uncertain = [
+            e for e in acquired if e.ended is None and not acquired.is_complete(e.message.custody.acks)
+        ]
         orphans = [
             ref
-            for ref in won.refs
+            for ref in acquired.refs
             if ref not in kept
             and ref not in self._outstanding
             and ref not in self._ended_ids
             and ref not in self._unanswered_notices
         ]
-        orphans = [] if won.sure(1) else orphans
+        orphans = [] if acquired.is_complete(1) else orphans
         try:
             adopted = [
                 *(MessageEnded(ref, "withdrawn") for ref in local),
@@ -103,17 +107,21 @@
             if adopted:
                 self.journal.append(adopted, adopted=True)
         except (OSError, JournalFullError) as fault:
-            self.log.say("custody", f"{won.book} was not taken over, as the journal cannot hold it: {fault}")
-            self.custody.declined(won.book)
+            self.log.say(
+                "custody", f"{acquired.book} was not taken over, as the journal cannot hold it: {fault}"
+            )
+            self.custody.decline_adoption(acquired.book)
             return
-        self.custody.adopting(won)
-        self.custody.adopted(won, {entry.message.ref: entry.message.ends_at for entry in acquired})
-        self.custody.ended(won.book, known)
-        ends = {ref: now + timedelta(milliseconds=won.refs[ref]) for ref in orphans}
+        self.custody.begin_adoption(acquired)
+        self.custody.adoption_written(
+            acquired, {entry.message.ref: entry.message.ends_at for entry in acquired}
+        )
+        self.custody.discard(acquired.book, known)
+        ends = {ref: now + timedelta(milliseconds=acquired.refs[ref]) for ref in orphans}
         more: list[Record] = [r for entry in kept.values() for r in entry.records()]
         more += [journal_records.RelayStarted(e.message.ref, e.count(), now, UNKNOWN_HOST) for e in uncertain]
         more += [
-            AcceptedMessage(ref, 0, "", "", at, custody=journal_records.Custody(won.book, 1))
+            AcceptedMessage(ref, 0, "", "", at, custody=journal_records.Custody(acquired.book, 1))
             for ref, at in ends.items()
         ]
         more += [MessageEnded(ref, "given_up") for ref in orphans]
@@ -130,15 +138,17 @@
             events += [self._restore(entry, now) for entry in outstanding]
         completeness = (
             "no accepted message is missing"
-            if won.sure(1)
+            if acquired.is_complete(1)
             else (
-                f"{won.answers} of {won.of} copies answered, so some may be missing, "
+                f"{acquired.replicas_answered} of {acquired.replicas_asked} copies answered, "
+                f"so some may be missing, "
                 "and all may have been executed"
             )
         )
         self.log.say(
             "custody",
-            f"{won.book} of {won.before or 'nobody'} is taken over at term {won.term}: "
+            f"{acquired.book} of {acquired.previous_owner or 'nobody'} is taken over "
+            f"at term {acquired.term}: "
             f"{len(outstanding)} messages, {len(entries) - len(outstanding)} final outcomes; {completeness}",
         )
 
--- a/willownotch/net/endpoint_side.py
+++ b/willownotch/net/endpoint_side.py
@@ -25,7 +25,7 @@
 from willownotch.net.registry import Host
 
 if TYPE_CHECKING:
-    from willownotch.replica.service import Keeper
+    from willownotch.replica.service import CustodyService
 
 IDLE_SAFETY_MARGIN = timedelta(milliseconds=300)  # the host's idle timer started earlier than ours
 MAX_IDLE_CONNECTIONS, IDLE_DESCRIPTOR_SHARE = 128, 0.25  # the lower of the number and the share applies
@@ -178,7 +178,7 @@
         self.connects = 0
         self._never_set = threading.Event()  # never set; used for interruptible sleeps
         self.max_idle_connections = max_idle_connections(config)
-        self.custody: Keeper | None = None  # set if records are replicated to other senders
+        self.custody: CustodyService | None = None  # set if records are replicated to other senders
 
     def apply_settings(self, config: Config) -> None:
         """Apply new settings from now on."""
@@ -390,7 +390,9 @@
         """
         custodies = [relay.message.custody for relay in relays if relay.message.custody is not None]
         left = min(relay.ends_at for relay in relays) - self.clock.now()
-        return not custodies or self.custody.cleared(custodies, max(ZERO, min(MAX_REPLICATION_WAIT, left)))
+        return not custodies or self.custody.wait_for_copies(
+            custodies, max(ZERO, min(MAX_REPLICATION_WAIT, left))
+        )
 
     def _relay_batch(self, relays: list[Relay]) -> list[RelayEnded]:
         """Make several relays in one call. Those that cannot be sent are reported at once; the ends of the
--- a/willownotch/net/events.py
+++ b/willownotch/net/events.py
@@ -18,7 +18,7 @@
 from willownotch.net.pending import PendingReply
 
 if TYPE_CHECKING:
-    from willownotch.replica.core import Expired, Lost, Won
+    from willownotch.replica.core import Acquired, Expired, Lost
     from willownotch.shared.service import BudgetParts, EndpointFindings
 
 
@@ -140,7 +140,7 @@
 class BookAcquired:
     """This sender has become the owner of a book, a set of messages that are replicated together."""
 
-    won: Won
+    acquired: Acquired
 
 
 @dataclass(slots=True)
--- a/willownotch/replica/books.py
+++ b/willownotch/replica/books.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from willownotch.replica.placement import majority
-from willownotch.replica.wire import START, About, Granted, Position, Refused
+from willownotch.replica.wire import START, BookConfig, Granted, Position, Refused
 
 DRIFT = 0.05  # how much two clocks may differ in speed
 WINDOW = 512 * 1024  # bytes on their way to a replica, unacknowledged
@@ -89,7 +89,7 @@
 
     book: str
     term: int
-    about: About  # as it is on record at a majority of witnesses, or will be by the first claim
+    config: BookConfig  # as it is on record at a majority of witnesses, or will be by the first claim
     base: Position = START  # where the log stood when the term began
     last: int = 0  # the number of the last record
     stage: Stage = Stage.CLAIMING
@@ -123,7 +123,7 @@
 
         A set that is still being filled is none of them: who does not answer there holds up no promise.
         """
-        return [self.about.replicas] + ([self.proposed] if self.joint_from is not None else [])
+        return [self.config.replicas] + ([self.proposed] if self.joint_from is not None else [])
 
     def propose(self, names: tuple[str, ...] | None) -> None:
         """Begin to fill another set of replicas, or (None) leave it at the one there is."""
@@ -137,7 +137,7 @@
         """
         if self.proposed is None:
             return False
-        found = [self.followers.get(name) for name in self.proposed if name != self.about.owner]
+        found = [self.followers.get(name) for name in self.proposed if name != self.config.owner]
         if self.joint_from is None and all(
             f is not None and f.acked is not None and not f.fill for f in found
         ):
@@ -148,12 +148,12 @@
 
     def next_version(self) -> int:
         """Of a set that is put on record: above all of this owner's before, and of all owners before it."""
-        return max(self.about.version + 1, self.term << TERM_SHIFT)
+        return max(self.config.version + 1, self.term << TERM_SHIFT)
 
     def names(self) -> list[str]:
         """All replicas, those that are being filled among them, the owner itself not."""
-        line = (*self.about.replicas, *(self.proposed or ()))
-        return list(dict.fromkeys(name for name in line if name != self.about.owner))
+        line = (*self.config.replicas, *(self.proposed or ()))
+        return list(dict.fromkeys(name for name in line if name != self.config.owner))
 
     def reached(self, wanted: int) -> int:
         """Up to which record there are so many copies, in each set; the owner's own counts in a set that it
@@ -161,7 +161,7 @@
         least = self.last
         for line in self.sets():
             acked = sorted(
-                (self.last if name == self.about.owner else self._acked(name) for name in line), reverse=True
+                (self.last if name == self.config.owner else self._acked(name) for name in line), reverse=True
             )
             least = min(least, acked[wanted - 1] if len(acked) >= wanted else -1)
         return least
@@ -175,7 +175,7 @@
 
         def answers(name: str) -> bool:
             follower = self.followers.get(name)
-            return name == self.about.owner or (
+            return name == self.config.owner or (
                 follower is not None
                 and follower.acked is not None
                 and not follower.fill
@@ -241,7 +241,7 @@
         if found is None or granted.term != self.term:
             return False
         found.granted.add(granted.source)
-        if len(found.granted) < majority(len(self.about.witnesses)):
+        if len(found.granted) < majority(len(self.config.witnesses)):
             return False
         until = found.sent_at + span * (1 - DRIFT)
         self.lease_until = max(self.lease_until, until)
@@ -256,14 +256,14 @@
         if found is None or not refused.left_ms:  # whose lease is over may have let go of it
             return None
         found.refused[refused.source] = named = refused.owner, refused.life
-        agreed = list(found.refused.values()).count(named) >= majority(len(self.about.witnesses))
+        agreed = list(found.refused.values()).count(named) >= majority(len(self.config.witnesses))
         return named if agreed else None
 
     def hopeless(self, number: int) -> bool:
         """Whether so many have given this term or a higher one to others that no majority is left."""
         found = self.rounds.get(number)
         return found is not None and (
-            len(found.taken) > len(self.about.witnesses) - majority(len(self.about.witnesses))
+            len(found.taken) > len(self.config.witnesses) - majority(len(self.config.witnesses))
         )
 
     def begin_round(self, now: float, version: int) -> int:
--- a/willownotch/replica/copies.py
+++ b/willownotch/replica/copies.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from willownotch.journal.records import AcceptedMessage, Entry, RelayStarted, apply, frame, read_frames
-from willownotch.replica.wire import START, About, Append, Fill, Position
+from willownotch.replica.wire import START, Append, BookConfig, Fill, Position
 
 RANGES = 64
 PART = 48 * 1024  # bytes of entries in one frame
@@ -96,7 +96,7 @@
     """What a replica holds of a book. `term` is the highest one known: nothing of a lower one is taken."""
 
     book: str
-    about: About
+    config: BookConfig
     term: int
     position: Position = START
     sure: bool = True  # an owner has confirmed the position since this process began
--- a/willownotch/replica/core.py
+++ b/willownotch/replica/core.py
@@ -23,7 +23,7 @@
 from willownotch.replica.placement import ranked, witness_count, witnesses
 from willownotch.replica.settings import ReplicaSettings
 from willownotch.replica.terms import Register, Term
-from willownotch.replica.wire import START, About
+from willownotch.replica.wire import START, BookConfig
 
 UNFIT_SPANS, UNFIT_MOST = 2, 30.0  # leases (s at the most) that who did not answer is not chosen for; doubles
 FILL_AGAIN = 1.0  # s after the last part, before a fill that nobody acknowledged begins anew
@@ -42,14 +42,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepTerm:
+class StoreTerm:
     """To be in the folder before what follows."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
-class KeepCopy:
+class StoreCopy:
     """The same, of a copy: these frames more, all of it (None), or that it is gone (`copy` None)."""
 
     book: str
@@ -59,16 +59,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepBook:
+class StoreBook:
     """A book that this sender owns, or (None) no more."""
 
     book: str
-    about: About | None
+    config: BookConfig | None
     term: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class Acquired:
     """A book is this sender's from now on; `adopted` follows once its entries are in the journal.
 
     `answers` of `of` replicas told what they hold; `refs` are ids that were owed by what witnesses know, with
@@ -79,14 +79,14 @@
     term: int
     last: int  # the number of the last record
     entries: tuple[Ordered, ...]
-    answers: int
-    of: int
+    replicas_answered: int
+    replicas_asked: int
     refs: dict[str, int]
-    before: str  # who had it
+    previous_owner: str  # who had it
 
-    def sure(self, wanted: int) -> bool:
+    def is_complete(self, wanted: int) -> bool:
         """Whether all that has so many copies must be among what was told."""
-        return self.answers >= self.of - wanted + 1 and self.answers > 0
+        return self.replicas_answered >= self.replicas_asked - wanted + 1 and self.replicas_answered > 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,11 +114,11 @@
     text: str
 
 
-Action = Send | KeepTerm | KeepCopy | KeepBook | Won | Lost | Expired | Say
+Action = Send | StoreTerm | StoreCopy | StoreBook | Acquired | Lost | Expired | Say
 Snapshot = Callable[[str], tuple[int, list[tuple[int, Entry]]]]  # of a book: its last record, its entries
 
 
-class Custody:
+class CustodyCore:
     """One sender's part. `snapshot` tells what a book holds as its journal has it, whenever it is asked."""
 
     def __init__(
@@ -136,7 +136,7 @@
         self.register = Register(now, self._span())
         self.owned: dict[str, Owned] = {}
         self.copies: dict[str, Copy] = {}
-        self.indexes: dict[str, Index] = {}
+        self.id_indexes: dict[str, Index] = {}
         self.there: dict[str, int] = {}  # the others, by name, and their processes
         self.current: str | None = None  # the book that new messages go into
         self.now = now
@@ -146,9 +146,9 @@
         self._silences: dict[str, int] = {}  # members, how often in a row that was so
         self._try_at: dict[str, float] = {}  # of a book without an owner: when to claim it
         self._terms: dict[str, int] = {}  # the highest term heard of, of books that are claimed
-        self._former: dict[str, tuple[About, int]] = {}  # books of this sender's former processes
+        self._former: dict[str, tuple[BookConfig, int]] = {}  # books of this sender's former processes
         self._told: dict[str, float] = {}  # of a copy, when its silent owner was last asked
-        self._ids: dict[str, Ids] = {}  # of the books that are owned: what is told to their keepers
+        self._id_logs: dict[str, Ids] = {}  # of the books that are owned: what is told to their keepers
         self._full: dict[str, float] = {}  # books that there is no room for, until when
         self._over: dict[str, None] = {}  # books that were closed here, the last ones
         self._credit, self._credit_at = 0.0, now  # bytes of repair
@@ -171,7 +171,7 @@
         owned = self.owned.get(book)
         if owned is None:
             return -1
-        reached, ids = owned.reached(wanted), self._ids.get(book)
+        reached, ids = owned.reached(wanted), self._id_logs.get(book)
         floor = ids.floor(self.now, self.settings.patience.total_seconds() / 2) if ids is not None else None
         return reached if floor is None else min(reached, floor)
 
@@ -186,7 +186,7 @@
         self,
         terms: Iterable[Term],
         kept: Iterable[Copy],
-        books: dict[str, tuple[About, int]],
+        books: dict[str, tuple[BookConfig, int]],
         owed: dict[str, dict[str, float]],
     ) -> None:
         """What the folder has. Copies are no answers to a fetch until an owner has confirmed them.
@@ -199,9 +199,9 @@
             copy.sure, copy.heard_at = False, self.now
             self.copies[copy.book] = copy
         self._former = dict(books)
-        for book, (about, term) in books.items():
+        for book, (config, term) in books.items():
             refs = {ref: self.now + left for ref, left in owed.get(book, {}).items()}
-            self.indexes[book] = Index(about, term, self.now, refs)
+            self.id_indexes[book] = Index(config, term, self.now, refs)
 
     def members(self, now: float, there: dict[str, int]) -> list[Action]:
         """Who is there by the membership, this sender left out."""
@@ -227,7 +227,7 @@
             owned.open.pop(ref, None)
         for name in owned.names():
             self._push(owned, name)
-        ids = self._ids.setdefault(book, Ids())
+        ids = self._id_logs.setdefault(book, Ids())
         ids.note(opened, over)
         if opened and owned.stage is Stage.OWNED:
             ids.flush(before)
@@ -241,11 +241,11 @@
         if owned is not None and owned.stage is Stage.ADOPTING:
             owned.stage = Stage.OWNED
             owned.open = dict(refs)
-            self._ids[book] = Ids(1)  # from here on; what was won is told as a whole
+            self._id_logs[book] = Ids(1)  # from here on; what was won is told as a whole
             if book in self.copies:
                 self._drop_copy(book)
             self._former.pop(book, None)
-            self._act(KeepBook(book, owned.about, owned.term))
+            self._act(StoreBook(book, owned.config, owned.term))
             self._place()
         return self._done()
 
@@ -264,7 +264,7 @@
         self.now = max(self.now, now)
         if self.copies.pop(book, None) is not None:
             self._full[book] = self.now + 1.0
-            self._act(KeepCopy(book, None))
+            self._act(StoreCopy(book, None))
         return self._done()
 
     def release(self, now: float) -> list[Action]:
@@ -295,7 +295,7 @@
 
     def _woke(self) -> None:
         """This process stood still: that it heard nobody shows nothing of the others."""
-        for thing in (*self.copies.values(), *self.indexes.values()):
+        for thing in (*self.copies.values(), *self.id_indexes.values()):
             thing.heard_at = self.now
         for owned in self.owned.values():
             for follower in owned.followers.values():
@@ -317,28 +317,28 @@
     def _on_claim(self, claim: wire.Claim) -> None:
         answer, keep = self.register.claim(self.now, claim)
         if keep is not None:
-            self._act(KeepTerm(keep))
+            self._act(StoreTerm(keep))
         answer = msgspec.structs.replace(answer, source=self.name)
-        if isinstance(answer, wire.Granted) and claim.source != self.name and claim.book in self.indexes:
+        if isinstance(answer, wire.Granted) and claim.source != self.name and claim.book in self.id_indexes:
             if claim.closed:
-                del self.indexes[claim.book]
+                del self.id_indexes[claim.book]
             else:
-                self.indexes[claim.book].heard_at = self.now
+                self.id_indexes[claim.book].heard_at = self.now
         self._send(claim.source, answer)
 
     # As a keeper of ids
 
     def _on_refs(self, refs: wire.Refs) -> None:
-        index = self.indexes.get(refs.book)
+        index = self.id_indexes.get(refs.book)
         if index is not None and refs.term < index.term or refs.book in self.owned:
             return
-        if refs.after < 0 and refs.about is None:
-            self.indexes.pop(refs.book, None)
+        if refs.after < 0 and refs.config is None:
+            self.id_indexes.pop(refs.book, None)
             return
         if index is None or index.term < refs.term:
-            if refs.about is None:
+            if refs.config is None:
                 return self._send(refs.source, wire.Told(self.name, refs.book, refs.term, -1, True))
-            index = self.indexes[refs.book] = Index(refs.about, refs.term, self.now, {})
+            index = self.id_indexes[refs.book] = Index(refs.config, refs.term, self.now, {})
         missed = index.take(self.now, refs.after, refs.step, refs.owed, refs.over)
         self._send(refs.source, wire.Told(self.name, refs.book, refs.term, index.at, missed))
 
@@ -366,12 +366,12 @@
         if copy is None:
             if known is not None or append.book in self.owned or self._full.get(append.book, 0.0) > self.now:
                 return
-            if append.previous != START or append.about is None:
+            if append.previous != START or append.config is None:
                 self._send(append.source, wire.Behind(self.name, append.book, append.term, START, ()))
                 return
-            copy = self.copies[append.book] = Copy(append.book, append.about, append.term)
-            self._act(KeepCopy(append.book, copy))
-        self._follow(copy, append.term, append.about, append.now)
+            copy = self.copies[append.book] = Copy(append.book, append.config, append.term)
+            self._act(StoreCopy(append.book, copy))
+        self._follow(copy, append.term, append.config, append.now)
         held = copy.matches(append)
         if held is None:
             if copy.position[0] != append.term or copy.position[1] < append.previous[1]:
@@ -385,20 +385,20 @@
         fresh = append.frames[held:]
         copy.take(append, held)
         if fresh:
-            self._act(KeepCopy(append.book, copy, fresh, copy.position))
+            self._act(StoreCopy(append.book, copy, fresh, copy.position))
         self._send(append.source, wire.Acked(self.name, append.book, append.term, copy.position))
 
-    def _follow(self, copy: Copy, term: int, about: About | None, owners: datetime) -> None:
+    def _follow(self, copy: Copy, term: int, config: BookConfig | None, owners: datetime) -> None:
         """An owner has spoken at a term that holds."""
-        changed = term > copy.term or (about is not None and about != copy.about)
+        changed = term > copy.term or (config is not None and config != copy.config)
         if term > copy.term:
             copy.filling, copy.ahead = None, None
-        copy.term, copy.about = term, about or copy.about
+        copy.term, copy.config = term, config or copy.config
         copy.met(self._wall, owners)
         copy.heard_at = self.now
         self._try_at.pop(copy.book, None)
         if changed:
-            self._act(KeepCopy(copy.book, copy))
+            self._act(StoreCopy(copy.book, copy))
 
     def _say_full(self, book: str) -> None:
         if self._full.get(book, 0.0) <= self.now:
@@ -419,14 +419,14 @@
                 return
             if self._full.get(fill.book, 0.0) > self.now:
                 return
-            copy = self.copies[fill.book] = Copy(fill.book, fill.about, fill.term, sure=False)
+            copy = self.copies[fill.book] = Copy(fill.book, fill.config, fill.term, sure=False)
         size = sum(len(data) for _, data in fill.entries)
         if sum(c.size for c in self.copies.values()) + size > self.room:
             self._say_full(fill.book)
             return
-        self._follow(copy, fill.term, fill.about, fill.now)
+        self._follow(copy, fill.term, fill.config, fill.now)
         if copy.fill(fill):
-            self._act(KeepCopy(fill.book, copy))
+            self._act(StoreCopy(fill.book, copy))
             self._send(fill.source, wire.Acked(self.name, fill.book, fill.term, copy.position))
         elif fill.told != copy.position and fill.part + 1 == fill.parts:
             self._behind(copy, fill.source)
@@ -436,7 +436,7 @@
         copy = self._owner_speaks(fetch.book, fetch.term, fetch.source)
         if (copy is None and known is not None) or fetch.book in self.owned:
             return
-        index = self.indexes.get(fetch.book)
+        index = self.id_indexes.get(fetch.book)
         refs = tuple((ref, round((at - self.now) * 1000)) for ref, at in index.refs.items()) if index else ()
         if copy is None:
             self._send(
@@ -446,7 +446,7 @@
             return
         if fetch.term > copy.term:  # from here on nothing of a lower term is taken
             copy.term, copy.filling = fetch.term, None
-            self._act(KeepCopy(copy.book, copy))
+            self._act(StoreCopy(copy.book, copy))
         copy.heard_at = self.now
         pieces = list(copies.parts(self._packed(copy)))
         for n, piece in enumerate(pieces):
@@ -480,7 +480,7 @@
 
     def _drop_copy(self, book: str) -> None:
         del self.copies[book]
-        self._act(KeepCopy(book, None))
+        self._act(StoreCopy(book, None))
 
     # As an owner
 
@@ -489,9 +489,9 @@
         if owned is None or granted.term != owned.term:
             return
         found = owned.rounds.get(granted.number)
-        if granted.version > owned.about.version and owned.stage is Stage.CLAIMING:
-            owned.about = msgspec.structs.replace(
-                owned.about, version=granted.version, replicas=granted.replicas
+        if granted.version > owned.config.version and owned.stage is Stage.CLAIMING:
+            owned.config = msgspec.structs.replace(
+                owned.config, version=granted.version, replicas=granted.replicas
             )
         if not owned.granted(self.now, granted, self._span()):
             return
@@ -501,11 +501,11 @@
                 self._begin_fetch(owned)
             else:
                 owned.stage = Stage.OWNED
-                self._act(KeepBook(owned.book, owned.about, owned.term))
+                self._act(StoreBook(owned.book, owned.config, owned.term))
                 for name in owned.names():
                     self._follower(owned, name)
                     self._probe(owned, name)
-        elif owned.proposed is not None and found is not None and found.version > owned.about.version:
+        elif owned.proposed is not None and found is not None and found.version > owned.config.version:
             self._commit_set(owned, found.version)
 
     def _on_refused(self, refused: wire.Refused) -> None:
@@ -545,9 +545,9 @@
         """
         self._lose(owned, owned.term, self.name)
         refs = {ref: self.now + (at - self._wall).total_seconds() for ref, at in owned.open.items()}
-        self._former[owned.book] = owned.about, owned.term
-        self.indexes[owned.book] = Index(owned.about, owned.term, self.now, refs)
-        self._act(KeepBook(owned.book, owned.about, owned.term))
+        self._former[owned.book] = owned.config, owned.term
+        self.id_indexes[owned.book] = Index(owned.config, owned.term, self.now, refs)
+        self._act(StoreBook(owned.book, owned.config, owned.term))
 
     def _stand_back(self, owned: Owned, wait: float) -> None:
         """Claims came to nothing: let others have what was granted, and try again later."""
@@ -557,10 +557,10 @@
 
     def _believe(self, book: str, refused: wire.Refused) -> None:
         """A book's owner is another by now."""
-        for table in (self.copies, self.indexes):
+        for table in (self.copies, self.id_indexes):
             if book in table:
-                table[book].about = msgspec.structs.replace(
-                    table[book].about, owner=refused.owner, life=refused.life
+                table[book].config = msgspec.structs.replace(
+                    table[book].config, owner=refused.owner, life=refused.life
                 )
         if refused.closed and book in self.copies:
             self._drop_copy(book)
@@ -570,8 +570,8 @@
         if owned is not None and higher.term > owned.term:
             self._lose(owned, higher.term, higher.source)
         copy = self.copies.get(higher.book)
-        if copy is not None and copy.about.owner == higher.source:  # it is no owner any more
-            copy.about = msgspec.structs.replace(copy.about, owner="", life=0)
+        if copy is not None and copy.config.owner == higher.source:  # it is no owner any more
+            copy.config = msgspec.structs.replace(copy.config, owner="", life=0)
 
     def _lose(self, owned: Owned, term: int, owner: str) -> None:
         self._disown(owned.book)
@@ -579,8 +579,8 @@
         if self.current == owned.book:
             self.current = None
         if self._former.pop(owned.book, None) is not None:
-            self.indexes.pop(owned.book, None)
-        self._act(KeepBook(owned.book, None))
+            self.id_indexes.pop(owned.book, None)
+        self._act(StoreBook(owned.book, None))
         self._act(Lost(owned.book, term, owner))
 
     def _on_acked(self, acked: wire.Acked) -> None:
@@ -653,7 +653,7 @@
                     len(pieces),
                     piece,
                     self._wall,
-                    owned.about,
+                    owned.config,
                 )
             )
         self._pour(owned, follower)
@@ -690,10 +690,12 @@
 
     def _append(self, owned: Owned, follower: Follower, before: int, frames: tuple[bytes, ...]) -> None:
         follower.sent_at = self.now
-        about = owned.about if not before or not frames else None
+        config = owned.config if not before or not frames else None
         self._send(
             follower.name,
-            wire.Append(self.name, owned.book, owned.term, owned.position(before), frames, self._wall, about),
+            wire.Append(
+                self.name, owned.book, owned.term, owned.position(before), frames, self._wall, config
+            ),
         )
 
     def _probe(self, owned: Owned, name: str) -> None:
@@ -737,12 +739,12 @@
         self._claim(owned, release=True, closed=True)
         for name in owned.names():
             self._send(name, wire.Close(self.name, owned.book, owned.term))
-        self._let_keepers_go(owned, self._ids.get(owned.book, Ids()).keepers)
+        self._let_keepers_go(owned, self._id_logs.get(owned.book, Ids()).keepers)
         self._disown(owned.book)
         self._over[owned.book] = None
         while len(self._over) > OVER_MOST:
             del self._over[next(iter(self._over))]
-        self._act(KeepBook(owned.book, None))
+        self._act(StoreBook(owned.book, None))
 
     # Sets of replicas
 
@@ -756,18 +758,18 @@
             wanted = tuple(ranked(owned.book, names)[: self.settings.copies])
             known = self._desired.get(owned.book)
             if wanted and (known is None or known[0] != wanted):
-                gone = any(name not in names for name in owned.about.replicas)
+                gone = any(name not in names for name in owned.config.replicas)
                 self._desired[owned.book] = wanted, self.now + (0.0 if gone else self._span() / 2)
 
     def _change_set(self, owned: Owned) -> None:
-        wanted, at = self._desired.get(owned.book, (owned.about.replicas, 0.0))
+        wanted, at = self._desired.get(owned.book, (owned.config.replicas, 0.0))
         if (
             wanted
             and at <= self.now
             and not owned.offered
-            and set(wanted) != set(owned.proposed or owned.about.replicas)
+            and set(wanted) != set(owned.proposed or owned.config.replicas)
         ):
-            owned.propose(wanted if set(wanted) != set(owned.about.replicas) else None)
+            owned.propose(wanted if set(wanted) != set(owned.config.replicas) else None)
             for name in owned.proposed or ():
                 self._probe(owned, name)
         if (owned.offered or owned.ripe()) and self.now - owned.set_at >= RESEND:
@@ -776,15 +778,15 @@
 
     def _commit_set(self, owned: Owned, version: int) -> None:
         """The witnesses have the new set on record."""
-        old = owned.about.replicas
-        owned.about = msgspec.structs.replace(owned.about, version=version, replicas=owned.proposed)
+        old = owned.config.replicas
+        owned.config = msgspec.structs.replace(owned.config, version=version, replicas=owned.proposed)
         owned.propose(None)
         for name in old:
-            if name not in owned.about.replicas and name != self.name:
+            if name not in owned.config.replicas and name != self.name:
                 owned.followers.pop(name, None)
                 self._send(name, wire.Close(self.name, owned.book, owned.term))
-        self._act(KeepBook(owned.book, owned.about, owned.term))
-        for name in owned.about.replicas:
+        self._act(StoreBook(owned.book, owned.config, owned.term))
+        for name in owned.config.replicas:
             self._probe(owned, name)
 
     def _roll(self) -> None:
@@ -806,9 +808,9 @@
             else:
                 self._disown(pending.book)  # its claims came to nothing
         if current is not None:
-            here = sum(name in names or name == self.name for name in current.about.witnesses)
+            here = sum(name in names or name == self.name for name in current.config.witnesses)
             could = witness_count(len(names) + 1, self.settings.witnesses)
-            sound = here == len(current.about.witnesses) >= could and not current.contested
+            sound = here == len(current.config.witnesses) >= could and not current.contested
             if sound or self.now - current.born < self._span():
                 return
         self._open(names)
@@ -823,14 +825,14 @@
     def _open(self, names: list[str]) -> None:
         self._count += 1
         book = f"{self.name}/{self.life:012x}.{self._count}"
-        about = About(
+        config = BookConfig(
             self.name,
             self.life,
             1,
             tuple(ranked(book, names)[: self.settings.copies]),
             witnesses(book, self.name, names, self.settings.witnesses),
         )
-        owned = self.owned[book] = Owned(book, 1, about, born=self.now)
+        owned = self.owned[book] = Owned(book, 1, config, born=self.now)
         self._claim(owned)
 
     # Claims
@@ -842,16 +844,16 @@
         """Ask all witnesses for the term, again and again for as long as the book is owned."""
         held = self.now < owned.lease_until
         owned.claim_at = self.now + (self._span() / 3 if held else min(0.2, self._span() / 3))
-        about = owned.about
+        config = owned.config
         if owned.stage is Stage.OWNED and owned.offered:
-            about = msgspec.structs.replace(about, version=owned.next_version(), replicas=owned.proposed)
+            config = msgspec.structs.replace(config, version=owned.next_version(), replicas=owned.proposed)
         elif owned.stage is not Stage.OWNED and not owned.fresh:
-            about = msgspec.structs.replace(about, version=0, replicas=())
-        number = owned.begin_round(self.now, about.version)
+            config = msgspec.structs.replace(config, version=0, replicas=())
+        number = owned.begin_round(self.now, config.version)
         claim = wire.Claim(
-            self.name, owned.book, owned.term, about, round(self._span() * 1000), number, release, closed
+            self.name, owned.book, owned.term, config, round(self._span() * 1000), number, release, closed
         )
-        for name in owned.about.witnesses:
+        for name in owned.config.witnesses:
             if name == self.name:
                 self._on_claim(claim)
             else:
@@ -860,43 +862,45 @@
     def _orphans(self) -> None:
         """Claim books whose owner is gone, and tell the ends that nobody will."""
         for owned in list(self.owned.values()):
-            known = self.copies.get(owned.book) or self.indexes.get(owned.book)
-            back = known is None or self.there.get(known.about.owner) == known.about.life
+            known = self.copies.get(owned.book) or self.id_indexes.get(owned.book)
+            back = known is None or self.there.get(known.config.owner) == known.config.life
             if owned.stage is Stage.CLAIMING and not owned.fresh and back and owned.book not in self._former:
                 self._stand_back(owned, 0.0)  # its owner is there after all
-        for book, (about, term) in list(self._former.items()):
-            self._stand(book, about, term, 0)
+        for book, (config, term) in list(self._former.items()):
+            self._stand(book, config, term, 0)
         for book, copy in list(self.copies.items()):
-            about, silent = copy.about, self.now - copy.heard_at
+            config, silent = copy.config, self.now - copy.heard_at
             if silent > KEEP_AFTER and self._left(copy) < -KEEP_AFTER:
                 self._drop_copy(book)
-            elif self.there.get(about.owner) == about.life:
+            elif self.there.get(config.owner) == config.life:
                 self._ask_silent(copy)
             elif copy.live and silent > self._span() / 2:
-                line = [name for name in about.replicas if name in self.there or name == self.name]
-                self._stand(book, about, copy.term, line.index(self.name) if self.name in line else len(line))
+                line = [name for name in config.replicas if name in self.there or name == self.name]
+                self._stand(
+                    book, config, copy.term, line.index(self.name) if self.name in line else len(line)
+                )
                 if silent > self._span():
                     self._expire_copy(copy)
-        for book, index in list(self.indexes.items()):
-            about, silent = index.about, self.now - index.heard_at
-            if self.there.get(about.owner) == about.life or book in self.copies:
+        for book, index in list(self.id_indexes.items()):
+            config, silent = index.config, self.now - index.heard_at
+            if self.there.get(config.owner) == config.life or book in self.copies:
                 continue
             if not index.refs and book not in self._former:
-                del self.indexes[book]
+                del self.id_indexes[book]
                 continue
-            if silent > self._span() and not any(name in self.there for name in about.replicas):
-                line = sorted(about.witnesses)
+            if silent > self._span() and not any(name in self.there for name in config.replicas):
+                line = sorted(config.witnesses)
                 self._stand(
-                    book, about, index.term, 1 + (line.index(self.name) if self.name in line else len(line))
+                    book, config, index.term, 1 + (line.index(self.name) if self.name in line else len(line))
                 )
             if silent > self._span() or book in self._former:
                 self._expire_refs(book, index)
 
-    def _stand(self, book: str, about: About, term: int, place: int) -> None:
+    def _stand(self, book: str, config: BookConfig, term: int, place: int) -> None:
         """Claim a book when it is this member's turn; the best placed goes first."""
         owned = self.owned.get(book)
         if owned is None and self._try_at.setdefault(book, self.now + place * self._span() / 4) <= self.now:
-            self._take(book, about, term)
+            self._take(book, config, term)
         elif owned is not None and owned.stage is Stage.CLAIMING and self.now - owned.born > 2 * self._span():
             self._stand_back(owned, 0.0)  # no majority is to be had
 
@@ -937,16 +941,16 @@
         every = max(3 * self._span(), 3.0)
         if self.now - copy.heard_at > every and self.now - self._told.get(copy.book, -1e9) > every:
             self._told[copy.book] = self.now
-            self._behind(copy, copy.about.owner)
+            self._behind(copy, copy.config.owner)
 
-    def _take(self, book: str, about: About, term: int) -> None:
+    def _take(self, book: str, config: BookConfig, term: int) -> None:
         """Claim the next term of a book."""
         term = max(term, self._terms.get(book, 0), self.register.term(book)) + 1
         self._terms[book] = term
         self._try_at[book] = self.now + self._span() + self._pause()
-        mine = msgspec.structs.replace(about, owner=self.name, life=self.life)
+        mine = msgspec.structs.replace(config, owner=self.name, life=self.life)
         owned = self.owned[book] = Owned(
-            book, term, mine, born=self.now, fresh=False, before=(about.owner, about.life)
+            book, term, mine, born=self.now, fresh=False, before=(config.owner, config.life)
         )
         self._claim(owned)
 
@@ -958,21 +962,21 @@
         copy = self.copies.get(owned.book)
         if copy is not None:
             copy.term = max(copy.term, owned.term)
-            self._act(KeepCopy(owned.book, copy))
+            self._act(StoreCopy(owned.book, copy))
             pieces = list(copies.parts(self._packed(copy)))
             owned.answers[self.name] = Answer(
                 copy.position, copy.sure, True, len(pieces), got=dict(enumerate(pieces))
             )
-        if (index := self.indexes.get(owned.book)) is not None:
+        if (index := self.id_indexes.get(owned.book)) is not None:
             answer = owned.answers.setdefault(self.name, Answer(START, False, False, 1, got={0: ()}))
             answer.refs = {ref: round((at - self.now) * 1000) for ref, at in index.refs.items()}
         self._fetch_on(owned)
 
     def _fetch_on(self, owned: Owned) -> None:
         """Ask those who have not answered; enough, or too late: go on with what there is."""
-        asked = sorted({*owned.about.replicas, *owned.about.witnesses} - {self.name})
+        asked = sorted({*owned.config.replicas, *owned.config.witnesses} - {self.name})
         missing = [name for name in asked if name not in owned.answers or not owned.answers[name].whole()]
-        hoped = [name for name in missing if name in self.there and name in owned.about.replicas]
+        hoped = [name for name in missing if name in self.there and name in owned.config.replicas]
         if not hoped or self.now >= owned.fetch_ends:
             self._win(owned)
         elif self.now >= owned.fetch_at:
@@ -997,7 +1001,7 @@
     def _win(self, owned: Owned) -> None:
         """The copy that is furthest has all that was promised, if enough have answered."""
         whole = {name: a for name, a in owned.answers.items() if a.whole()}
-        told = [a for name, a in whole.items() if a.known and a.sure and name in owned.about.replicas]
+        told = [a for name, a in whole.items() if a.known and a.sure and name in owned.config.replicas]
         best = max((a for a in whole.values() if a.known), key=lambda a: a.position, default=None)
         refs: dict[str, int] = {}
         for answer in whole.values():
@@ -1014,20 +1018,20 @@
         known = {entry.message.ref for _, entry in entries}
         owned.stage, owned.answers = Stage.ADOPTING, {}
         before = (
-            self.copies[owned.book].about.owner
+            self.copies[owned.book].config.owner
             if owned.book in self.copies
-            else (self.indexes[owned.book].about.owner if owned.book in self.indexes else self.name)
+            else (self.id_indexes[owned.book].config.owner if owned.book in self.id_indexes else self.name)
         )
-        self.indexes.pop(owned.book, None)
+        self.id_indexes.pop(owned.book, None)
         refs = {ref: left for ref, left in refs.items() if ref not in known}
         self._act(
-            Won(
+            Acquired(
                 owned.book,
                 owned.term,
                 owned.last,
                 tuple(entries),
                 len(told),
-                len(owned.about.replicas),
+                len(owned.config.replicas),
                 refs,
                 before,
             )
@@ -1039,14 +1043,14 @@
         """Members without a copy, witnesses if there are any, who tell the ends should all copies be lost."""
         names = owned.names()
         fit = [
-            n for n in owned.about.witnesses if n in self.there and n not in self._unfit and n not in names
+            n for n in owned.config.witnesses if n in self.there and n not in self._unfit and n not in names
         ]
         return ranked(owned.book, fit or [n for n in self._fit() if n not in names], "ids")[:KEEPERS]
 
     def _keep_ids(self, owned: Owned) -> None:
         """See to the keepers of a book's ids."""
         if owned.stage is Stage.OWNED:
-            ids = self._ids.setdefault(owned.book, Ids())
+            ids = self._id_logs.setdefault(owned.book, Ids())
             self._let_keepers_go(owned, ids.keep(self._keepers(owned)))
             ids.flush()
             self._tell(owned, ids)
@@ -1059,18 +1063,20 @@
         for name in ids.keepers:
             if not ids.wants(self.now, name):
                 continue
-            found, about = ids.next(self.now, name), None
+            found, config = ids.next(self.now, name), None
             if found is None:
-                after, owed, over, about = -1, owned.open, (), owned.about
+                after, owed, over, config = -1, owned.open, (), owned.config
             else:
                 after, (owed, over) = found
             left = tuple(
                 (ref, max(0, round((at - self._wall).total_seconds() * 1000))) for ref, at in owed.items()
             )
-            self._send(name, wire.Refs(self.name, owned.book, owned.term, after, ids.step, left, over, about))
+            self._send(
+                name, wire.Refs(self.name, owned.book, owned.term, after, ids.step, left, over, config)
+            )
 
     def _on_told(self, told: wire.Told) -> None:
-        owned, ids = self.owned.get(told.book), self._ids.get(told.book)
+        owned, ids = self.owned.get(told.book), self._id_logs.get(told.book)
         if owned is None or ids is None or told.term != owned.term or owned.stage is not Stage.OWNED:
             return
         ids.told(self.now, told.source, told.step, told.missed)
@@ -1080,7 +1086,7 @@
 
     def _disown(self, book: str) -> None:
         """Forget a book as one that is owned or claimed, and what is known of it only for as long."""
-        for table in (self.owned, self._ids, self._desired):
+        for table in (self.owned, self._id_logs, self._desired):
             table.pop(book, None)
 
     def _act(self, action: Action) -> None:
--- a/willownotch/replica/ids.py
+++ b/willownotch/replica/ids.py
@@ -11,7 +11,7 @@
 from datetime import datetime
 
 from willownotch.replica.books import resend_after
-from willownotch.replica.wire import About
+from willownotch.replica.wire import BookConfig
 
 STEPS_MOST = 512  # that are kept for keepers that lag; who is further behind is told all
 BEAT = 5.0  # s between two words to a keeper that has everything
@@ -23,7 +23,7 @@
 class Index:
     """What a keeper knows. `at` is the step up to which it does; -1: it has not been told all of it."""
 
-    about: About
+    config: BookConfig
     term: int
     heard_at: float
     refs: dict[str, float]  # ids, and when their deadlines are by this clock
--- a/willownotch/replica/service.py
+++ b/willownotch/replica/service.py
@@ -109,7 +109,7 @@
     done: Callable[[bool], None]
 
 
-class Keeper:
+class CustodyService:
     """Custody for one sender. `start` its threads, ask from any."""
 
     def __init__(
@@ -127,7 +127,7 @@
     ) -> None:
         self.settings, self.name, self.transport, self.say, self.now = settings, name, transport, say, now
         self.store = Store(folder, files, space, say)
-        self.core = cores.Custody(
+        self.core = cores.CustodyCore(
             name,
             life,
             settings,
@@ -138,10 +138,10 @@
         )
         self.read_body: Callable[[AcceptedMessage], bytes] = lambda message: message.body
         self.entries: Callable[[Callable[[], int]], tuple[int, list[Entry]]] = lambda number: (number(), [])
-        self.there: Callable[[], dict[str, tuple[int, tuple[str, int]]]] = dict
-        self.won: Callable[[cores.Won], None] = lambda won: None
-        self.lost: Callable[[cores.Lost], None] = lambda lost: None
-        self.expired: Callable[[cores.Expired], None] = lambda expired: None
+        self.peers: Callable[[], dict[str, tuple[int, tuple[str, int]]]] = dict
+        self.on_acquired: Callable[[cores.Acquired], None] = lambda won: None
+        self.on_lost: Callable[[cores.Lost], None] = lambda lost: None
+        self.on_expired: Callable[[cores.Expired], None] = lambda expired: None
         self.counts: Counter[str] = Counter()
         self._inbox: queue.SimpleQueue = queue.SimpleQueue()
         self._lock = threading.Lock()  # of what follows
@@ -158,7 +158,7 @@
 
     # What the sender asks
 
-    def mark(self, name: str) -> Mark | None | bool:
+    def custody_for(self, name: str) -> Mark | None | bool:
         """What a message of a class is taken on under: None, nothing of the kind; False, it cannot be now."""
         wanted = self.settings.wanted(name)
         if not wanted:
@@ -173,7 +173,7 @@
         """Whether this sender may act on a book at this moment."""
         return time.monotonic() < self._leases.get(book, 0.0)
 
-    def cleared(self, marks: list[Mark], patience: timedelta) -> bool:
+    def wait_for_copies(self, marks: list[Mark], patience: timedelta) -> bool:
         """Wait until all that was written of these books is in enough copies; whether a relay may begin."""
         ends = time.monotonic() + patience.total_seconds()
         with self._changed:
@@ -191,7 +191,9 @@
         """Whether a book is no more to be acted on. One that was just won is about to be."""
         return book not in self._last or (book in self._leases and not self.acting(book))
 
-    def wait(self, mark: Mark, patience: timedelta, strict: bool, done: Callable[[bool], None]) -> None:
+    def notify_when_copied(
+        self, mark: Mark, patience: timedelta, strict: bool, done: Callable[[bool], None]
+    ) -> None:
         """Have `done` called once all written so far is in enough copies, or with False: it never will be.
 
         After `patience` it is over if `strict`; else the lease alone is enough from then on, since nobody
@@ -212,7 +214,7 @@
 
     # What it tells
 
-    def wrote(self, pairs: list[tuple[str, Record]]) -> None:
+    def on_written(self, pairs: list[tuple[str, Record]]) -> None:
         """The journal has these records of books, under its lock."""
         with self._lock:
             found: dict[str, list[Record]] = {}
@@ -234,25 +236,25 @@
         self._last[book] = 0
         return True
 
-    def adopting(self, won: cores.Won) -> None:
+    def begin_adoption(self, won: cores.Acquired) -> None:
         """From here on what the journal writes of this book follows on what was won."""
         with self._lock:
             self._last[won.book] = won.last
             self._order[won.book] = {entry.message.ref: order for order, entry in won.entries}
 
-    def adopted(self, won: cores.Won, refs: dict[str, datetime]) -> None:
+    def adoption_written(self, won: cores.Acquired, refs: dict[str, datetime]) -> None:
         """All of it is in the journal."""
         self._inbox.put(lambda: self.core.adopted(time.monotonic(), won.book, refs))
 
-    def declined(self, book: str) -> None:
+    def decline_adoption(self, book: str) -> None:
         """It could not be put there."""
         self._inbox.put(lambda: self.core.declined(time.monotonic(), book))
 
-    def ended(self, book: str, refs: list[str]) -> None:
+    def discard(self, book: str, refs: list[str]) -> None:
         """These ids of a book need nobody any more; the journal has no records of them."""
-        self.wrote([(book, MessageEnded(ref, "withdrawn")) for ref in refs])
+        self.on_written([(book, MessageEnded(ref, "withdrawn")) for ref in refs])
 
-    def over(self) -> list[str]:
+    def closed_books(self) -> list[str]:
         """Books that this sender was a witness of and that nobody will ask for again; any thread."""
         box: queue.SimpleQueue[list[str]] = queue.SimpleQueue()
 
@@ -298,7 +300,7 @@
                 owed.setdefault(mark.book, {})[ref] = left
         self.core.restore(self.store.terms.values(), self.store.copies.values(), self.store.books, owed)
 
-    def former(self, mark: Mark | None) -> bool:
+    def is_of_former_process(self, mark: Mark | None) -> bool:
         """Whether a message stands in a book of a former process, which is not this one's yet."""
         return mark is not None and mark.book in self.store.books
 
@@ -360,7 +362,7 @@
         return msgspec.structs.replace(message, body=body, place=None, legacy_file=None)
 
     def _look(self, now: float) -> list[cores.Action]:
-        there = self.there()
+        there = self.peers()
         self.transport.addresses = {name: address for name, (_, address) in there.items()}
         actions = self.core.members(now, {name: uid for name, (uid, _) in there.items()})
         return actions + self.core.tick(now, self.now())
@@ -368,12 +370,14 @@
     def _carry(self, actions: list[cores.Action]) -> None:
         """What is to be kept first, by one write; then what is said."""
         while actions:
-            keeping = [a for a in actions if isinstance(a, cores.KeepTerm | cores.KeepCopy | cores.KeepBook)]
+            keeping = [
+                a for a in actions if isinstance(a, cores.StoreTerm | cores.StoreCopy | cores.StoreBook)
+            ]
             kept, more = not keeping or self.store.keep(keeping), []
             if not kept:
                 self.counts["not kept"] += 1
                 for action in keeping:
-                    if isinstance(action, cores.KeepCopy) and action.copy is not None:
+                    if isinstance(action, cores.StoreCopy) and action.copy is not None:
                         more += self.core.unkept(time.monotonic(), action.book)
             for action in actions:
                 if isinstance(action, cores.Send):
@@ -381,14 +385,14 @@
                         self.transport.send(action.to, action.message)
                 elif isinstance(action, cores.Say):
                     self.say(action.text)
-                elif isinstance(action, cores.Won):
+                elif isinstance(action, cores.Acquired):
                     self.counts["taken over"] += 1
-                    self.won(action)
+                    self.on_acquired(action)
                 elif isinstance(action, cores.Lost):
                     self._lose(action)
                 elif isinstance(action, cores.Expired):
                     self.counts["ended for others"] += len(action.entries) + len(action.refs)
-                    self.expired(action)
+                    self.on_expired(action)
             actions = more
 
     def _lose(self, lost: cores.Lost) -> None:
@@ -398,7 +402,7 @@
             self._leases.pop(lost.book, None)
             self._changed.notify_all()
         self.counts["lost"] += 1
-        self.lost(lost)
+        self.on_lost(lost)
 
     def _publish(self) -> None:
         """Let the others see how things are, and tell those who wait."""
@@ -500,7 +504,7 @@
                     round(max(0.0, owned.lease_until - now), 3),
                     len(owned.open),
                     max(0, owned.last - self.core.reached(book, most)),
-                    owned.about.witnesses,
+                    owned.config.witnesses,
                     tuple(
                         FollowerView(
                             f.name,
@@ -513,7 +517,7 @@
                 )
             )
         copies = [
-            CopyView(c.book, c.about.owner, c.term, len(c.live), c.size, c.sure, round(now - c.heard_at, 3))
+            CopyView(c.book, c.config.owner, c.term, len(c.live), c.size, c.sure, round(now - c.heard_at, 3))
             for c in self.core.copies.values()
         ]
         return ReplicaView(
@@ -522,7 +526,7 @@
             tuple(books),
             tuple(copies),
             len(self.core.register),
-            {book: len(index.refs) for book, index in self.core.indexes.items()},
+            {book: len(index.refs) for book, index in self.core.id_indexes.items()},
             dict(self.transport.traffic),
             dict(self.transport.seal.refused),
             dict(self.counts),
--- a/willownotch/replica/simulated.py
+++ b/willownotch/replica/simulated.py
@@ -30,7 +30,7 @@
 from willownotch.replica.copies import Copy
 from willownotch.replica.settings import ReplicaSettings
 from willownotch.replica.terms import Term
-from willownotch.replica.wire import About
+from willownotch.replica.wire import BookConfig
 
 BEGAN = datetime(2026, 1, 1, tzinfo=UTC)
 DETECT_S = 1.0
@@ -42,7 +42,7 @@
 
     terms: dict[str, Term] = field(default_factory=dict)
     copies: dict[str, bytes] = field(default_factory=dict)  # as they are encoded
-    books: dict[str, tuple[About, int]] = field(default_factory=dict)
+    books: dict[str, tuple[BookConfig, int]] = field(default_factory=dict)
     live: dict[str, Entry] = field(default_factory=dict)
     order: dict[str, int] = field(default_factory=dict)
 
@@ -62,7 +62,7 @@
 
     def __init__(self, fleet: Fleet, name: str, life: int, disk: Disk) -> None:
         self.fleet, self.name, self.life, self.disk = fleet, name, life, disk
-        self.core = cores.Custody(
+        self.core = cores.CustodyCore(
             name, life, fleet.settings, fleet.now, Random(fleet.random.getrandbits(64)), self.snapshot
         )
         self.last: dict[str, int] = {}
@@ -108,7 +108,7 @@
         self.carry(self.core.wrote(self.fleet.now, book, tuple(map(frame, records)), opened, over))
         return self.last[book]
 
-    def take(self, ref: str, wanted: int, span: float = 20.0) -> bool:
+    def accept(self, ref: str, wanted: int, span: float = 20.0) -> bool:
         """A client hands a message in; whether it is under way to be taken on."""
         book = self.core.usable(wanted, self.fleet.now)
         if book is None or ref in self.disk.live:
@@ -126,7 +126,7 @@
         self.waiting[ref] = book, self.write(book, [taken])
         return True
 
-    def send(self, ref: str) -> None:
+    def begin_call(self, ref: str) -> None:
         """Mark a call, and make it once the mark is copied."""
         entry = self.disk.live.get(ref)
         if entry is None or ref in self.waiting or entry.ended is not None or not self.mine(ref):
@@ -181,18 +181,18 @@
         for action in actions:
             if isinstance(action, cores.Send):
                 self.fleet.post(self.name, action.to, action.message)
-            elif isinstance(action, cores.KeepTerm):
+            elif isinstance(action, cores.StoreTerm):
                 self.disk.terms[action.term.book] = action.term
-            elif isinstance(action, cores.KeepCopy):
+            elif isinstance(action, cores.StoreCopy):
                 if action.copy is None:
                     self.disk.copies.pop(action.book, None)
                 elif self.fleet.durable:
                     self.disk.copies[action.book] = write_copy(action.copy)
-            elif isinstance(action, cores.KeepBook):
+            elif isinstance(action, cores.StoreBook):
                 self.disk.books.pop(action.book, None)
-                if action.about is not None:
-                    self.disk.books[action.book] = action.about, action.term
-            elif isinstance(action, cores.Won):
+                if action.config is not None:
+                    self.disk.books[action.book] = action.config, action.term
+            elif isinstance(action, cores.Acquired):
                 self._won(action)
             elif isinstance(action, cores.Lost):
                 self.lost.append(action.book)
@@ -209,13 +209,13 @@
         self.tries = [one for one in self.tries if one.book != book]
         self.ends = {ref: end for ref, end in self.ends.items() if end[0] != book}
 
-    def _won(self, won: cores.Won) -> None:
+    def _won(self, won: cores.Acquired) -> None:
         self.fleet.holders.setdefault((won.book, won.term), []).append(self.name)
         self._forget(won.book)
         self.last[won.book] = won.last
         for order, entry in won.entries:
             ref = entry.message.ref
-            if not won.sure(entry.message.custody.acks) and entry.ended is None:
+            if not won.is_complete(entry.message.custody.acks) and entry.ended is None:
                 entry.started[entry.count()] = RelayStarted(
                     ref, entry.count(), self.fleet.wall(self.name), "?"
                 )
@@ -232,7 +232,7 @@
     return msgspec.msgpack.encode(
         [
             copy.book,
-            copy.about,
+            copy.config,
             copy.term,
             copy.position,
             [[order, b"".join(map(frame, entry.records()))] for order, entry in copy.entries()],
@@ -242,8 +242,8 @@
 
 def read_copy(data: bytes) -> Copy:
     """And back."""
-    book, about, term, position, entries = msgspec.msgpack.decode(data)
-    copy = Copy(book, msgspec.convert(about, About), term, tuple(position))
+    book, config, term, position, entries = msgspec.msgpack.decode(data)
+    copy = Copy(book, msgspec.convert(config, BookConfig), term, tuple(position))
     copy.put(entries)
     return copy
 
--- a/willownotch/replica/store.py
+++ b/willownotch/replica/store.py
@@ -19,7 +19,7 @@
 from willownotch.replica import copies, core
 from willownotch.replica.copies import Copy
 from willownotch.replica.terms import Term
-from willownotch.replica.wire import About, Position
+from willownotch.replica.wire import BookConfig, Position
 
 NAME, NEW_NAME = "custody", "custody.new"
 MAGIC = b"wnC1"
@@ -30,7 +30,7 @@
     """A copy as it stood."""
 
     book: str
-    about: About
+    config: BookConfig
     term: int
     position: Position
     entries: tuple[tuple[int, bytes], ...]
@@ -60,7 +60,7 @@
     """A book that this sender owns."""
 
     book: str
-    about: About | None
+    config: BookConfig | None
     term: int
 
 
@@ -100,7 +100,7 @@
     def __init__(self, folder: Path, files: Files, space: Space, say: Callable[[str], None]) -> None:
         self.folder, self.path, self.files, self.space, self.say = folder, folder / NAME, files, space, say
         self.terms: dict[str, Term] = {}
-        self.books: dict[str, tuple[About, int]] = {}
+        self.books: dict[str, tuple[BookConfig, int]] = {}
         self.copies: dict[str, Copy] = {}  # those of the core, once it has them
         self.size = self.live = 0
         self._file = -1
@@ -127,12 +127,12 @@
             self.terms[record.term.book] = record.term
         elif isinstance(record, BookKept):
             self.books.pop(record.book, None)
-            if record.about is not None:
-                self.books[record.book] = record.about, record.term
+            if record.config is not None:
+                self.books[record.book] = record.config, record.term
         elif isinstance(record, NoCopy):
             self.copies.pop(record.book, None)
         elif isinstance(record, WholeCopy):
-            copy = self.copies[record.book] = Copy(record.book, record.about, record.term, record.position)
+            copy = self.copies[record.book] = Copy(record.book, record.config, record.term, record.position)
             copy.put(record.entries)
         elif (copy := self.copies.get(record.book)) is not None:
             copy.add(record.frames, record.position)
@@ -142,20 +142,20 @@
         for book in books:
             self.terms.pop(book, None)
 
-    def keep(self, actions: list[core.KeepTerm | core.KeepCopy | core.KeepBook]) -> bool:
+    def keep(self, actions: list[core.StoreTerm | core.StoreCopy | core.StoreBook]) -> bool:
         """Put a round's changes into the file by one write; False if it could not be."""
         records: list[Record] = []
         # A copy is written as it stands after the round, so what was added to it in the round is in that.
-        whole = {a.book for a in actions if isinstance(a, core.KeepCopy) and a.copy and a.frames is None}
+        whole = {a.book for a in actions if isinstance(a, core.StoreCopy) and a.copy and a.frames is None}
         for action in actions:
-            if isinstance(action, core.KeepTerm):
+            if isinstance(action, core.StoreTerm):
                 self.terms[action.term.book] = action.term
                 records.append(TermKept(action.term))
-            elif isinstance(action, core.KeepBook):
+            elif isinstance(action, core.StoreBook):
                 self.books.pop(action.book, None)
-                if action.about is not None:
-                    self.books[action.book] = action.about, action.term
-                records.append(BookKept(action.book, action.about, action.term))
+                if action.config is not None:
+                    self.books[action.book] = action.config, action.term
+                records.append(BookKept(action.book, action.config, action.term))
             elif action.copy is None:
                 self.copies.pop(action.book, None)
                 records.append(NoCopy(action.book))
@@ -169,7 +169,7 @@
     @staticmethod
     def _whole(copy: Copy) -> WholeCopy:
         entries = tuple((order, copies.pack(entry)) for order, entry in copy.entries())
-        return WholeCopy(copy.book, copy.about, copy.term, copy.position, entries)
+        return WholeCopy(copy.book, copy.config, copy.term, copy.position, entries)
 
     def _append(self, data: bytes) -> bool:
         try:
@@ -201,7 +201,7 @@
 
     def _rewrite(self) -> None:
         records: list[Record] = [TermKept(term) for term in self.terms.values()]
-        records += [BookKept(book, about, term) for book, (about, term) in self.books.items()]
+        records += [BookKept(book, config, term) for book, (config, term) in self.books.items()]
         records += [self._whole(copy) for copy in self.copies.values()]
         data = b"".join(map(frame, records))
         grown = round_to_blocks(len(data))
--- a/willownotch/replica/terms.py
+++ b/willownotch/replica/terms.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from willownotch.lease.register import GrantRequest, GrantTable
-from willownotch.replica.wire import About, Claim, Granted, Refused
+from willownotch.replica.wire import BookConfig, Claim, Granted, Refused
 
 BOOKS_MOST = 8192  # kept at the most; of those that are over, the oldest go first
 KEEP_S = 3600.0  # s that a book is kept after its last lease
-NOBODY = About("", 0, 0, (), ())
+NOBODY = BookConfig("", 0, 0, (), ())
 
 
 class Term(msgspec.Struct, frozen=True, array_like=True):
@@ -22,7 +22,7 @@
 
     book: str
     term: int
-    about: About
+    config: BookConfig
     closed: bool = False
 
 
@@ -39,27 +39,36 @@
     def restore(self, held: Term) -> None:
         """What the folder has. Its lease may have been granted a moment before the end."""
         self.held[held.book] = held
-        self.grants.restore(held.book, held.term, held.about.owner, held.about.life, held.closed)
+        self.grants.restore(held.book, held.term, held.config.owner, held.config.life, held.closed)
 
     def claim(self, now: float, claim: Claim) -> tuple[Granted | Refused, Term | None]:
         """The answer to a claim, and what must be in the folder before it is given."""
-        about = claim.about
+        config = claim.config
         held = self.held.get(claim.book) or Term(claim.book, 0, NOBODY)
         wanted = GrantRequest(
-            claim.term, about.owner, about.life, claim.span_ms / 1000, claim.release, claim.closed
+            claim.term, config.owner, config.life, claim.span_ms / 1000, claim.release, claim.closed
         )
         # Its first owner may have it at once: nobody else knows of it.
         if self.grants.ask(now, claim.book, wanted, new=claim.term == 1) is None:
             left = round(self.grants.left(now, claim.book) * 1000)
             refused = Refused(
-                "", claim.book, claim.number, held.term, held.about.owner, held.about.life, left, held.closed
+                "",
+                claim.book,
+                claim.number,
+                held.term,
+                held.config.owner,
+                held.config.life,
+                left,
+                held.closed,
             )
             return refused, None
-        if about.version < held.about.version:  # the set that is on record stays
-            about = msgspec.structs.replace(about, version=held.about.version, replicas=held.about.replicas)
-        fresh = self.held[claim.book] = Term(claim.book, claim.term, about, claim.closed)
+        if config.version < held.config.version:  # the set that is on record stays
+            config = msgspec.structs.replace(
+                config, version=held.config.version, replicas=held.config.replicas
+            )
+        fresh = self.held[claim.book] = Term(claim.book, claim.term, config, claim.closed)
         self._trim(now)
-        granted = Granted("", claim.book, claim.term, claim.number, about.version, about.replicas)
+        granted = Granted("", claim.book, claim.term, claim.number, config.version, config.replicas)
         return granted, fresh if fresh != held else None
 
     def over(self, now: float) -> list[str]:
--- a/willownotch/replica/wire.py
+++ b/willownotch/replica/wire.py
@@ -15,7 +15,7 @@
 START: Position = (0, 0)
 
 
-class About(msgspec.Struct, frozen=True, array_like=True):
+class BookConfig(msgspec.Struct, frozen=True, array_like=True):
     """What a book is, as its owner has it. The witnesses stay for as long as the book does."""
 
     owner: str
@@ -31,7 +31,7 @@
     source: str
     book: str
     term: int
-    about: About  # with version 0, the set of replicas is to stay as it is
+    config: BookConfig  # with version 0, the set of replicas is to stay as it is
     span_ms: int
     number: int  # of the round of claims, told back
     release: bool = False
@@ -71,7 +71,7 @@
     previous: Position
     frames: tuple[bytes, ...]
     now: datetime
-    about: About | None = None  # with the first ones, and from time to time
+    config: BookConfig | None = None  # with the first ones, and from time to time
 
 
 class Acked(msgspec.Struct, tag=5, frozen=True, array_like=True):
@@ -106,7 +106,7 @@
     parts: int
     entries: tuple[tuple[int, bytes], ...]  # place in the order, records
     now: datetime
-    about: About
+    config: BookConfig
 
 
 class Higher(msgspec.Struct, tag=8, frozen=True, array_like=True):
@@ -163,7 +163,7 @@
     step: int
     owed: tuple[tuple[str, int], ...]  # and ms until their deadlines
     over: tuple[str, ...]
-    about: About | None = None
+    config: BookConfig | None = None
 
 
 class Told(msgspec.Struct, tag=13, frozen=True, array_like=True):
