--- a/tests/test_controlplane_commit.py
+++ b/tests/test_controlplane_commit.py
@@ -25,19 +25,19 @@
     Recovered,
     Submit,
     Vote,
-    again,
-    counted,
-    decide,
+    apply_accept,
+    current_answers,
+    highest_accepted,
     majority,
     may_promise,
 )
-from willownotch.controlplane.commit import CommitPace, Commits, Message, Outcome, Record
+from willownotch.controlplane.commit import AgreementCore, AgreementTiming, Message, Outcome, Record
 from willownotch.controlplane.document import Change, Commit, Document, DocumentError
 
 LONG = bool(os.environ.get("WILLOWNOTCH_LONG"))
 ENCODE = msgspec.msgpack.Encoder().encode
 DECODE, READ = msgspec.msgpack.Decoder(Message).decode, msgspec.msgpack.Decoder(Record).decode
-PACE = CommitPace(patience=3.0, queue=4)
+PACE = AgreementTiming(patience=3.0, queue=4)
 
 
 @dataclass
@@ -69,7 +69,7 @@
         self.digests = {0: Document().digest}
         self.outcomes = {}  # change id -> results
         self.seen = dict.fromkeys(self.names, 0)  # revision of each
-        self.said, self.watch = [], lambda source, target, message: True
+        self.log_lines, self.watch = [], lambda source, target, message: True
         for name in self.names:
             self.start(name, bootstrap)
 
@@ -84,7 +84,7 @@
             return True
 
         document = Document(self.history)
-        self.members[name] = Commits(
+        self.members[name] = AgreementCore(
             name,
             self.uids * 1000 + self.random.randrange(1000),
             self.names,
@@ -152,10 +152,10 @@
         for commit in member.committed:
             assert self.truth.setdefault(commit.revision, commit) == commit, f"two of {commit.revision}"
             self.digests[commit.revision] = commit.digest
-        self.said += member.said
+        self.log_lines += member.log_lines
         member.results.clear()
         member.committed.clear()
-        member.said.clear()
+        member.log_lines.clear()
         revision = member.document.revision
         assert revision >= self.seen[name], f"{name} went back from {self.seen[name]} to {revision}"
         assert self.digests[revision] == member.document.digest
@@ -265,7 +265,7 @@
     ],
 )
 def test_what_a_voter_accepts(promised, pending, revision, accept, wanted):
-    assert decide(promised, pending, revision, accept) == wanted
+    assert apply_accept(promised, pending, revision, accept) == wanted
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
     ],
 )
 def test_what_is_committed_again_is_what_the_highest_ballot_proposed(pendings, wanted):
-    assert again(3, pendings) == wanted
+    assert highest_accepted(3, pendings) == wanted
 
 
 @pytest.mark.parametrize(
@@ -293,7 +293,7 @@
     ],
 )
 def test_an_answer_of_a_replaced_incarnation_does_not_count(vectors, wanted):
-    assert counted(vectors) == wanted
+    assert current_answers(vectors) == wanted
 
 
 def test_two_majorities_have_a_voter_in_common():
@@ -597,7 +597,7 @@
 
 
 def test_queues_are_bounded_and_what_does_not_fit_is_said():
-    plane = Plane(3, pace=CommitPace(queue=4, asks=9, patience=3.0))
+    plane = Plane(3, pace=AgreementTiming(queue=4, asks=9, patience=3.0))
     plane.led("m0", 1)
     plane.cut = lambda a, b: True
     asked = [plane.ask("m0", plane.change({f"k{n}": b"1"}, "m0")) for n in range(12)]
@@ -653,7 +653,7 @@
     assert plane.truth[1].change.id == change.id
     plane.until(lambda: {m.document.revision for m in plane.members.values()} == {1})
     assert [plane.members[name].voter.vector[name] for name in plane.names] == [2] * 4 + [1] * 5
-    assert any("votes again, as incarnation 2" in line for line in plane.said)
+    assert any("votes again, as incarnation 2" in line for line in plane.log_lines)
 
 
 def test_with_five_of_nine_folders_lost_nothing_is_voted_and_it_is_said():
@@ -667,7 +667,9 @@
     plane.run(30)
     assert not any(plane.members[name].voter.voting for name in plane.names[:5])
     assert not plane.leading("m7")
-    assert any("5 of 9 voters have lost their folder, no majority is left" in line for line in plane.said)
+    assert any(
+        "5 of 9 voters have lost their folder, no majority is left" in line for line in plane.log_lines
+    )
     assert "4 of the 5 voters needed have answered" in plane.members["m0"].view().why
     assert plane.told("m7", plane.change({"k": b"2"}, "m7")).outcome is Outcome.UNKNOWN
     assert {m.document.revision for m in plane.members.values()} == {1}  # it is known all the same
@@ -801,7 +803,7 @@
     assert plane.told("m3", change).outcome is Outcome.UNKNOWN
     assert plane.members["m2"].voter.pending is None
     assert plane.members["m2"].counts["keep failed"] > 0 and plane.members["m2"].view().folder_failing
-    assert plane.said.count("the folder cannot be written: no vote until it can") >= 3
+    assert plane.log_lines.count("the folder cannot be written: no vote until it can") >= 3
     plane.full = {"m1"}
     assert plane.told("m4", change).outcome is Outcome.COMMITTED
     plane.full = set()
@@ -889,7 +891,7 @@
         plane.give("m1", 2)
     plane.until(lambda: plane.members["m4"].document.revision >= 40, 120)
     assert plane.members["m4"].document.digest == plane.digests[40]
-    assert plane.members["m4"].installed == 1
+    assert plane.members["m4"].snapshots_installed == 1
     assert max(sizes) < 257 * 1024
     plane.conditions = Conditions()
     plane.kill("m4")
@@ -907,7 +909,7 @@
     plane.cut = lambda a, b: False
     plane.until(lambda: plane.members["m2"].document.revision == 5)
     assert not any(isinstance(message, Piece) for message in sent)
-    assert plane.members["m2"].installed == 0
+    assert plane.members["m2"].snapshots_installed == 0
 
 
 def test_an_unsound_commit_is_not_taken_and_is_said():
@@ -917,7 +919,7 @@
     change = plane.change({"k": b"1"}, "m1")
     member.receive(plane.now, "m0", CommitBatch(1, (Commit(1, 1, change, b"w" * 16),)))
     assert member.document.revision == 0 and member.counts["unsound commit"] == 1
-    assert any("another digest" in line for line in member.said)
+    assert any("another digest" in line for line in member.log_lines)
     member.receive(plane.now, "m0", Beat(Ballot(1, 1), 0, b"w" * 16))
     assert member.counts["digest differs"] == 1
 
@@ -931,7 +933,7 @@
     assert member.counts == {"from a non-voter": 1, "unknown message": 1}
     assert member.view().promised == before.promised
     with pytest.raises(ValueError, match="not one of the voters"):
-        Commits("stranger", 1, plane.names, Document(), lambda records: True, 0.0, Random(1))
+        AgreementCore("stranger", 1, plane.names, Document(), lambda records: True, 0.0, Random(1))
 
 
 # All of it at once
--- a/tests/test_controlplane_document.py
+++ b/tests/test_controlplane_document.py
@@ -8,11 +8,11 @@
 from willownotch.controlplane.document import (
     BUCKETS,
     CHANGE_MOST,
+    DIGEST_BYTES,
     GROUPS,
     KEY_MOST,
     MODULUS,
     VALUE_MOST,
-    WIDTH,
     Change,
     Commit,
     Delta,
@@ -20,7 +20,7 @@
     DocumentError,
     bucket_of,
     check_change,
-    hash_of,
+    entry_hash,
 )
 
 KEYS = st.sampled_from([f"k{n}" for n in range(8)] + ["κ", "a/b.c", "k" * KEY_MOST])
@@ -104,13 +104,13 @@
     delta = document.delta(half.revision)
     replace = msgspec.structs.replace
     delta = {
-        "digest": replace(delta, digest=bytes(WIDTH - 1) + bytes([delta.digest[-1] ^ 1])),
+        "digest": replace(delta, digest=bytes(DIGEST_BYTES - 1) + bytes([delta.digest[-1] ^ 1])),
         "since": replace(delta, since=delta.since + 1),
         "revision": replace(delta, revision=half.revision),
         "token": replace(delta, token=half.token - 1),
         "entry": replace(delta, sets={**delta.sets, "k0": b"another"}),
         "key": replace(delta, sets={**delta.sets, "not there": b"1"}),
-        "twice": replace(delta, removes=("k0", "k0", *delta.removes), digest=b"x" * WIDTH),
+        "twice": replace(delta, removes=("k0", "k0", *delta.removes), digest=b"x" * DIGEST_BYTES),
     }[wrong]
     before = state_of(half)
     with pytest.raises(DocumentError):
@@ -131,7 +131,7 @@
         replace(right, revision=right.revision + 1),
         replace(right, revision=document.revision),
         replace(right, token=document.token - 1),
-        replace(right, digest=bytes(WIDTH)),
+        replace(right, digest=bytes(DIGEST_BYTES)),
     ):
         with pytest.raises(DocumentError):
             document.commit(wrong)
@@ -144,7 +144,7 @@
 def test_undo_gives_the_entries_of_an_earlier_revision(history, data):
     document, states = grown(history)
     revision = data.draw(st.integers(0, document.revision))
-    sets, removes = document.undo(revision)
+    sets, removes = document.edits_to_restore(revision)
     if sets or removes:
         committed(document, sets, removes, token=document.token)
     assert dict(document.items()) == states[revision]
@@ -170,7 +170,7 @@
     document, states = grown(history)
     sums = [0] * BUCKETS
     for key, value in states[-1].items():
-        sums[bucket_of(key)] = (sums[bucket_of(key)] + hash_of(key, value)) % MODULUS
+        sums[bucket_of(key)] = (sums[bucket_of(key)] + entry_hash(key, value)) % MODULUS
     assert int.from_bytes(document.digest, "big") == sum(sums) % MODULUS
     for group in range(GROUPS):
         part = sums[group * GROUPS : (group + 1) * GROUPS]
@@ -207,9 +207,9 @@
     with pytest.raises(DocumentError, match="the last is 10"):
         document.conflict(Change(bytes(16), "a", 11, {"k0": b"1"}))
     with pytest.raises(DocumentError, match="not remembered"):
-        document.undo(5)
+        document.edits_to_restore(5)
     with pytest.raises(DocumentError):
-        document.undo(11)
+        document.edits_to_restore(11)
 
 
 def test_a_whole_document_of_another_digest_is_refused():
--- a/tests/test_controlplane_member.py
+++ b/tests/test_controlplane_member.py
@@ -604,8 +604,8 @@
     member._serve, member.woken = lambda sends: None, SimpleNamespace(notify=lambda: None)
     member.commits = SimpleNamespace(
         committed=[],
-        installed=0,
-        said=[],
+        snapshots_installed=0,
+        log_lines=[],
         writer=SimpleNamespace(stage=Stage.IDLE),
         results=[Result(change.id, Outcome.COMMITTED, 1, "")],
     )
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -65,7 +65,7 @@
         (folder / stores.NAME).write_bytes(whole[:at])
         made, found = opened(folder)
         assert found == flat(APPENDS[:-1])
-        assert made.cut == at - last and made.size == last
+        assert made.torn_bytes == at - last and made.size == last
         made.append([b"next"])
         made.close()
         assert read(folder) == [*flat(APPENDS[:-1]), b"next"]
@@ -76,7 +76,7 @@
     whole = written(tmp_path / "made")
     (tmp_path / "made" / stores.NAME).write_bytes(whole + tail)
     made, found = opened(tmp_path / "made")
-    assert found == flat(APPENDS) and made.cut == len(tail)
+    assert found == flat(APPENDS) and made.torn_bytes == len(tail)
     made.close()
     assert (tmp_path / "made" / stores.NAME).read_bytes() == whole
 
--- a/willownotch/controlplane/agreement.py
+++ b/willownotch/controlplane/agreement.py
@@ -216,7 +216,9 @@
     return ballot >= promised
 
 
-def decide(promised: Ballot, pending: Accepted | None, revision: int, accept: Accept) -> Accepted | None:
+def apply_accept(
+    promised: Ballot, pending: Accepted | None, revision: int, accept: Accept
+) -> Accepted | None:
     """What a voter at `revision` has accepted after an accept; None: it is refused.
 
     One without a commit never takes the place of what its own ballot proposed: messages may be reordered.
@@ -228,7 +230,7 @@
     return Accepted(accept.ballot, accept.revision, accept.commit)
 
 
-def again(revision: int, pendings: Iterable[Accepted | None]) -> Accepted | None:
+def highest_accepted(revision: int, pendings: Iterable[Accepted | None]) -> Accepted | None:
     """What was accepted under the highest ballot for the revision after `revision`: a new writer commits it
     again before anything else, a voter without a folder takes it over. A ballot proposes nothing before it
     proposes a commit, so of one ballot the commit goes first."""
@@ -236,7 +238,7 @@
     return max(found, key=lambda pending: (pending.ballot, pending.commit is not None), default=None)
 
 
-def counted(vectors: Mapping[str, Vector]) -> set[str]:
+def current_answers(vectors: Mapping[str, Vector]) -> set[str]:
     """Whose answers count, by name: not those of an incarnation that another answer knows to be replaced."""
     known = merged(vectors.values())
     return {name for name, vector in vectors.items() if vector.get(name, FIRST) >= known.get(name, FIRST)}
--- a/willownotch/controlplane/commit.py
+++ b/willownotch/controlplane/commit.py
@@ -46,9 +46,9 @@
 from willownotch.controlplane.writer import Check, Stage, Writer
 
 __all__ = [
-    "CommitPace",
-    "CommitView",
-    "Commits",
+    "AgreementTiming",
+    "AgreementView",
+    "AgreementCore",
     "Keep",
     "Message",
     "Outcome",
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CommitPace:
+class AgreementTiming:
     """Spans in s, and bounds."""
 
     again: float = 0.3  # until what was not answered is asked again
@@ -88,7 +88,7 @@
     tell: float = 10.0  # between two lines of a voter that cannot vote
 
 
-class CommitView(msgspec.Struct, frozen=True):
+class AgreementView(msgspec.Struct, frozen=True):
     """How agreement goes here, for who asks."""
 
     name: str
@@ -119,7 +119,7 @@
     again_at: float = -1e9
 
 
-class Commits:
+class AgreementCore:
     """One member's part in the agreement: voter, learner, and writer while it holds the lease.
 
     `document` is empty and is brought up to `restored`, the folder's records in order (`DocumentError` where
@@ -138,7 +138,7 @@
         keep: Keep,
         now: float,
         random: Random,
-        pace: CommitPace | None = None,
+        pace: AgreementTiming | None = None,
         check: Check = lambda document, change: None,
         restored: Iterable[Record] = (),
         bootstrap: bool = False,
@@ -146,14 +146,14 @@
         if name not in voters:
             raise ValueError(f"{name!r} is not one of the voters: {', '.join(voters)}")
         self.name, self.voters, self.document = name, voters, document
-        self.pace = pace or CommitPace()
+        self.pace = pace or AgreementTiming()
         self.voter = Voter(name, voters, document, keep, restored, bootstrap)
         self.writer = Writer(self.voter, uid, check, self.pace.queue, self.pace.again, random, self._send)
         self.catchup = CatchUp(self.voter, self._send)
         self.recovery = None if self.voter.voting else Recovery(self.voter, uid)
         self.results: list[Result] = []
         self.committed: list[Commit] = []
-        self.counts, self.said = self.voter.counts, self.voter.said
+        self.counts, self.log_lines = self.voter.counts, self.voter.log_lines
         self.leader, self.leader_ballot = "", NONE  # the writer, as last heard
         self.asks: dict[bytes, Asking] = {}
         self._out: list[Send] = []
@@ -248,22 +248,22 @@
         return self._settle(now)
 
     @property
-    def installed(self) -> int:
+    def snapshots_installed(self) -> int:
         """How many snapshots were taken in so far."""
-        return self.voter.installed
+        return self.voter.snapshots_installed
 
     def records(self) -> list[Record]:
         """All that a new folder needs; `rewritten` is called once it is there."""
         return self.voter.records()
 
-    def rewritten(self) -> None:
+    def on_rewritten(self) -> None:
         """The folder was written anew, with what `records` gave."""
-        self.voter.rewritten()
+        self.voter.on_rewritten()
 
-    def view(self) -> CommitView:
+    def view(self) -> AgreementView:
         """For who asks."""
         voter, writer = self.voter, self.writer
-        return CommitView(
+        return AgreementView(
             self.name,
             voter.voting,
             self.recovery.text() if self.recovery is not None else "",
@@ -346,7 +346,7 @@
             self._out += [Send(name, message) for name, message in self.recovery.asks()]
         if now >= self._tell_at:
             self._tell_at = now + self.pace.tell
-            self.said.append(self.recovery.text())
+            self.log_lines.append(self.recovery.text())
 
     def _on_recovery(self, now: float) -> None:
         before = self.recovery.incarnation
@@ -387,7 +387,7 @@
         ):
             self._differs = message.revision
             self.counts["digest differs"] += 1
-            self.said.append(f"revision {message.revision} has another digest at {source}")
+            self.log_lines.append(f"revision {message.revision} has another digest at {source}")
 
     def _on_submit(self, now: float, source: str, message: Submit) -> None:
         self._reply(source, self.writer.submitted(source, message.ballot, message.change))
--- a/willownotch/controlplane/comparison.py
+++ b/willownotch/controlplane/comparison.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 from willownotch.controlplane.document import (
+    DIGEST_BYTES,
     GROUPS,
     MODULUS,
-    WIDTH,
     Delta,
     Document,
     bucket_of,
-    hash_of,
+    entry_hash,
 )
 from willownotch.controlplane.wire import PIECE, Kind, Part, Tree, read_entries, read_tree
 
@@ -64,7 +64,7 @@
             (ours != theirs) << number
             for number, (ours, theirs) in enumerate(zip(self.document.groups(), sums, strict=True))
         )
-        pieces = -(-mask.bit_count() * GROUPS * WIDTH // PIECE)
+        pieces = -(-mask.bit_count() * GROUPS * DIGEST_BYTES // PIECE)
         return [(Part(Kind.BUCKETS, self.top.revision, 0, mask), pieces)] if mask else []
 
     def _group_buckets(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
@@ -100,16 +100,16 @@
                 raise ValueError("an entry of another bucket")
             found[number][key] = value
         for number, entries in found.items():
-            total = sum(hash_of(key, value) for key, value in entries.items()) % MODULUS
-            if total.to_bytes(WIDTH, "big") != self.wanted[number]:
+            total = sum(entry_hash(key, value) for key, value in entries.items()) % MODULUS
+            if total.to_bytes(DIGEST_BYTES, "big") != self.wanted[number]:
                 raise ValueError("a bucket with another digest")
             self.buckets[number] = self.wanted[number], entries
         return []
 
 
 def _digests(data: bytes) -> list[bytes]:
-    return [data[at : at + WIDTH] for at in range(0, len(data), WIDTH)]
+    return [data[at : at + DIGEST_BYTES] for at in range(0, len(data), DIGEST_BYTES)]
 
 
 def _sum(digests: list[bytes]) -> bytes:
-    return (sum(int.from_bytes(one, "big") for one in digests) % MODULUS).to_bytes(WIDTH, "big")
+    return (sum(int.from_bytes(one, "big") for one in digests) % MODULUS).to_bytes(DIGEST_BYTES, "big")
--- a/willownotch/controlplane/document.py
+++ b/willownotch/controlplane/document.py
@@ -20,8 +20,8 @@
 
 GROUPS = 64  # of buckets
 BUCKETS = GROUPS * GROUPS
-WIDTH = 16  # bytes of a digest
-MODULUS = 1 << 8 * WIDTH
+DIGEST_BYTES = 16  # bytes of a digest
+MODULUS = 1 << 8 * DIGEST_BYTES
 KEY_MOST, VALUE_MOST, ENTRIES_MOST = 200, 64 * 1024, 200_000  # bytes of a key and a value; entries
 CHANGE_MOST = 512 * 1024  # bytes of a change: it goes in one frame between members
 HISTORY_MOST = 4096  # changes that are kept for differences, conflicts and roll-back
@@ -78,10 +78,10 @@
     return int.from_bytes(blake3(key.encode()).digest(length=2), "big") % BUCKETS
 
 
-def hash_of(key: str, value: bytes) -> int:
+def entry_hash(key: str, value: bytes) -> int:
     """One entry's part of the digest."""
     name = key.encode()
-    return int.from_bytes(blake3(b"%d:%s" % (len(name), name) + value).digest(length=WIDTH), "big")
+    return int.from_bytes(blake3(b"%d:%s" % (len(name), name) + value).digest(length=DIGEST_BYTES), "big")
 
 
 def check_change(change: Change) -> None:
@@ -132,18 +132,18 @@
     @property
     def digest(self) -> bytes:
         """Of all entries."""
-        return self._total.to_bytes(WIDTH, "big")
+        return self._total.to_bytes(DIGEST_BYTES, "big")
 
     def groups(self) -> list[bytes]:
         """The digest of each group of buckets."""
         return [
-            (sum(self._sums[at : at + GROUPS]) % MODULUS).to_bytes(WIDTH, "big")
+            (sum(self._sums[at : at + GROUPS]) % MODULUS).to_bytes(DIGEST_BYTES, "big")
             for at in range(0, BUCKETS, GROUPS)
         ]
 
     def buckets(self, group: int) -> list[bytes]:
         """The digest of each bucket of a group."""
-        return [n.to_bytes(WIDTH, "big") for n in self._sums[group * GROUPS : (group + 1) * GROUPS]]
+        return [n.to_bytes(DIGEST_BYTES, "big") for n in self._sums[group * GROUPS : (group + 1) * GROUPS]]
 
     def bucket(self, number: int) -> dict[str, bytes]:
         """A copy of a bucket's entries."""
@@ -165,12 +165,12 @@
         old = bucket.get(key)
         moved = 0
         if old is not None:
-            moved -= hash_of(key, old)
+            moved -= entry_hash(key, old)
             self.count -= 1
             self.size -= len(key.encode()) + len(old)
             del bucket[key]
         if value is not None:
-            moved += hash_of(key, value)
+            moved += entry_hash(key, value)
             self.count += 1
             self.size += len(key.encode()) + len(value)
             bucket[key] = value
@@ -219,12 +219,12 @@
         total = self._total
         for key in change.removes:
             if (old := self.get(key)) is not None:
-                total -= hash_of(key, old)
+                total -= entry_hash(key, old)
         for key, value in change.sets.items():
             if (old := self.get(key)) is not None:
-                total -= hash_of(key, old)
-            total += hash_of(key, value)
-        return (total % MODULUS).to_bytes(WIDTH, "big")
+                total -= entry_hash(key, old)
+            total += entry_hash(key, value)
+        return (total % MODULUS).to_bytes(DIGEST_BYTES, "big")
 
     def commit(self, commit: Commit) -> None:
         """Move on by one revision; `DocumentError`, and nothing changed, if it is not the next one or its
@@ -286,7 +286,7 @@
         self.history.clear()
         self._by_id.clear()
 
-    def undo(self, revision: int) -> tuple[dict[str, bytes], tuple[str, ...]]:
+    def edits_to_restore(self, revision: int) -> tuple[dict[str, bytes], tuple[str, ...]]:
         """What to set and to remove so that the entries are those of an earlier revision; `DocumentError`
         where the history does not go back so far."""
         if not self.oldest() <= revision <= self.revision:
--- a/willownotch/controlplane/entries.py
+++ b/willownotch/controlplane/entries.py
@@ -164,7 +164,7 @@
     return "".join(f"{key} {value.decode()}\n" for key, value in sorted(entries))
 
 
-def configuration(entries: Iterable[tuple[str, bytes]]) -> dict[str, bytes]:
+def config_entries(entries: Iterable[tuple[str, bytes]]) -> dict[str, bytes]:
     """Those that a sender's configuration is made of."""
     return {key: value for key, value in entries if key.startswith(CONFIG + "/")}
 
@@ -220,7 +220,7 @@
             raise DocumentError(f"there is no entry {key!r} to remove")
     if reference is None or not any(key.startswith(CONFIG + "/") for key in change.touched()):
         return
-    entries = configuration(document.items()) | configuration(change.sets.items())
+    entries = config_entries(document.items()) | config_entries(change.sets.items())
     for key in change.removes:
         entries.pop(key, None)
     try:
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -26,12 +26,12 @@
 from willownotch.channel.server import BadRequestError, Server
 from willownotch.cli import EXIT_FAULTY, THREAD_STACK_BYTES, Threads, load_blocks
 from willownotch.controlplane import agreement, entries, operators, wire
-from willownotch.controlplane.commit import CommitPace, Commits, Result, Stage
+from willownotch.controlplane.commit import AgreementCore, AgreementTiming, Result, Stage
 from willownotch.controlplane.commit import Send as ToMember
 from willownotch.controlplane.document import Change, Document, DocumentError
 from willownotch.controlplane.serving import Serving
 from willownotch.controlplane.settings import MemberSettings
-from willownotch.controlplane.store import ANEW, Store, StoreError
+from willownotch.controlplane.store import START_OVER_HINT, Store, StoreError
 from willownotch.files.layer import REAL, Files
 from willownotch.lease.service import Leases
 from willownotch.lease.settings import DutySettings, LeaseSettings
@@ -146,7 +146,7 @@
         self.woken = threading.Condition(self.lock)
         random = Random(secrets.randbits(64))
         try:
-            self.commits = Commits(
+            self.commits = AgreementCore(
                 self.name,
                 uid,
                 settings.voters,
@@ -154,13 +154,13 @@
                 self._keep,
                 now,
                 random,
-                CommitPace(),
+                AgreementTiming(),
                 self._check,
                 records,
                 bootstrap,
             )
         except DocumentError as fault:
-            raise StoreError(f"{folder}: its records make no document ({fault}); {ANEW}") from None
+            raise StoreError(f"{folder}: its records make no document ({fault}); {START_OVER_HINT}") from None
         self.serving = Serving(self.name, self.document, settings, now, Random(secrets.randbits(64)))
         self._live = self.store.size
         self.sock = bind_followers(settings.followers)
@@ -179,14 +179,14 @@
         # older one, and its next change would lose to its own.
         self._ahead: list[Result] = []
         self._began, self._heard = now, {}  # when each other voter was heard last
-        self._installed, self._writing, self._apart = self.commits.installed, False, False
+        self._installed, self._writing, self._apart = self.commits.snapshots_installed, False, False
         self._look_at = self._addresses_at = now
         self._ending, self._refused = False, Counter()
         self._nacks: dict[str, int] = {}
 
     def _load(self, folder: Path) -> list[agreement.Record]:
         found = self.store.load()
-        if self.store.cut:
+        if self.store.torn_bytes:
             self.say("folder", f"{self.store.cut} bytes of a torn write were cut off")
         try:
             return [_record(payload) for payload in found]
@@ -253,7 +253,7 @@
             self._live = self.store.size // 2  # it is tried again once it has grown as much
             return
         self._live = self.store.size
-        self.commits.rewritten()
+        self.commits.on_rewritten()
 
     def _check(self, document: Document, change: Change) -> None:
         entries.check(document, change, self.reference)
@@ -331,8 +331,8 @@
                 f"revision {commit.revision} of {change.author}, {len(change.sets)} set and "
                 f"{len(change.removes)} removed, change {change.id.hex()}",
             )
-        if commits.installed != self._installed:
-            self._installed, moved = commits.installed, True
+        if commits.snapshots_installed != self._installed:
+            self._installed, moved = commits.snapshots_installed, True
             self.say("commit", f"revision {self.document.revision} was taken over whole")
         if moved:
             last = commits.committed[-1] if commits.committed else None
@@ -349,9 +349,9 @@
                 continue
             for waiter in self._waiting.pop(result.id, ()):
                 waiter.done.set()
-        for line in commits.said:
+        for line in commits.log_lines:
             self.say("agreement", line)
-        commits.said.clear()
+        commits.log_lines.clear()
         writing = commits.writer.stage is Stage.LEADING
         if writing != self._writing:
             self._writing = writing
--- a/willownotch/controlplane/operators.py
+++ b/willownotch/controlplane/operators.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from willownotch.channel.server import BadRequestError
-from willownotch.controlplane.commit import CommitView, Result
+from willownotch.controlplane.commit import AgreementView, Result
 from willownotch.controlplane.document import Change, Document, DocumentError
 from willownotch.controlplane.entries import encode
 from willownotch.controlplane.serving import StatusView
@@ -77,7 +77,7 @@
     writer: str
     apart_s: float | None
     heard: dict[str, float | None]
-    agreement: CommitView
+    agreement: AgreementView
     serving: StatusView
     traffic: dict[str, int]
 
@@ -115,7 +115,7 @@
     remembered."""
     revision = number(about, "revision", document.revision)
     try:
-        sets, removes = document.undo(revision)
+        sets, removes = document.edits_to_restore(revision)
     except DocumentError as fault:
         raise BadRequestError(str(fault)) from None
     if (key := about.get("key")) is not None:
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from willownotch.controlplane import wire
-from willownotch.controlplane.entries import CONFIG, configuration, overlay
+from willownotch.controlplane.entries import CONFIG, config_entries, overlay
 from willownotch.controlplane.follower import Follower, FollowView
 from willownotch.controlplane.held import Held
 from willownotch.controlplane.settings import FollowSettings
@@ -43,7 +43,7 @@
     """What lies over the file with the revision in force; None if none is."""
     if not held.in_force:
         return None
-    entries = configuration(held.entries_in_force())
+    entries = config_entries(held.entries_in_force())
     return lambda file: overlay(file, entries)
 
 
@@ -170,7 +170,7 @@
         self.follower.offered.clear()
         if not any(key.startswith(CONFIG + "/") for key in offer.changed):
             return self._in_force(now, offer.revision)
-        entries = configuration(self.held.document.items())
+        entries = config_entries(self.held.document.items())
         try:
             taken = self.lay_over(lambda file: overlay(file, entries))
         except ConfigError as fault:
--- a/willownotch/controlplane/store.py
+++ b/willownotch/controlplane/store.py
@@ -24,7 +24,7 @@
 MAGIC = b"wnP1"
 FORMAT = 1
 SLACK = 256 * 1024  # bytes of records that are over, beyond as many as are not, before a new file is written
-ANEW = "wanted: the file as it was, or an emptied folder, with which its owner begins anew"
+START_OVER_HINT = "wanted: the file as it was, or an emptied folder, with which its owner begins anew"
 PIECE = 1 << 20  # bytes of a frame, about, where a file is written anew
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -87,7 +87,7 @@
         self.folder, self.files, self.owner = folder, files, owner
         self.path = folder / NAME
         self.size = 0  # bytes of the file
-        self.cut = 0  # bytes of a torn tail that were found and cut off
+        self.torn_bytes = 0  # bytes of a torn tail that were found and cut off
         self._file = -1
         self._lock: FolderLock | None = None
         self._torn = False  # what a failed write left may stand behind `size`
@@ -119,8 +119,8 @@
             return []
         payloads, end = self._parse(data)
         self._file = self.files.open_to_append(self.path)
-        self.size, self.cut = end, len(data) - end
-        if self.cut:
+        self.size, self.torn_bytes = end, len(data) - end
+        if self.torn_bytes:
             self.files.truncate(self._file, end)
             self.files.sync(self._file)
         return payloads
@@ -140,20 +140,20 @@
         found, end = bodies(data)
         self._check_head(found)
         if end < len(data) and another_after(data, end):
-            raise StoreError(f"{self.path}: damaged at byte {end}, and more stands behind; {ANEW}")
+            raise StoreError(f"{self.path}: damaged at byte {end}, and more stands behind; {START_OVER_HINT}")
         payloads: list[bytes] = []
         try:
             for body in found[1:]:
                 payloads += _payloads(body)
         except msgspec.DecodeError:
-            raise StoreError(f"{self.path}: has frames of another kind; {ANEW}") from None
+            raise StoreError(f"{self.path}: has frames of another kind; {START_OVER_HINT}") from None
         return payloads, end
 
     def _check_head(self, found: list[bytes]) -> None:
         try:
             head = _head(found[0])
         except (IndexError, msgspec.DecodeError):
-            raise StoreError(f"{self.path}: damaged at byte 0; {ANEW}") from None
+            raise StoreError(f"{self.path}: damaged at byte 0; {START_OVER_HINT}") from None
         if head.format > FORMAT:
             raise StoreError(
                 f"{self.path}: is of format {head.format}, this version reads up to {FORMAT}; "
--- a/willownotch/controlplane/voter.py
+++ b/willownotch/controlplane/voter.py
@@ -26,21 +26,21 @@
     Vector,
     Vote,
     Whole,
-    again,
-    counted,
-    decide,
+    apply_accept,
+    current_answers,
+    highest_accepted,
     majority,
     may_promise,
     merged,
 )
 from willownotch.controlplane.document import (
+    DIGEST_BYTES,
     MODULUS,
-    WIDTH,
     Commit,
     Delta,
     Document,
     DocumentError,
-    hash_of,
+    entry_hash,
 )
 
 Keep = Callable[[list[Record]], bool]  # puts records into the folder, all or none; whether it could
@@ -79,9 +79,9 @@
         self.pending: Accepted | None = None
         self.vector: Vector = {}
         self.committed: list[Commit] = []  # since it was last taken away
-        self.installed = 0  # snapshots
+        self.snapshots_installed = 0  # snapshots
         self.counts: Counter[str] = Counter()
-        self.said: list[str] = []
+        self.log_lines: list[str] = []
         self.unkept: list[Record] = []
         self.failing = False  # the folder
         records = 0
@@ -135,7 +135,7 @@
         else:
             self.counts["keep failed"] += 1
         if kept == self.failing:
-            self.said.append(
+            self.log_lines.append(
                 "the folder can be written again"
                 if kept
                 else "the folder cannot be written: no vote until it can"
@@ -151,17 +151,17 @@
         """All that the folder needs, in fewest records; with the history of the document."""
         document = self.document
         oldest = document.oldest()
-        sets, removes = document.undo(oldest)
+        sets, removes = document.edits_to_restore(oldest)
         gone = set(removes)
         then = {key: value for key, value in document.items() if key not in gone} | sets
         total = int.from_bytes(document.digest, "big")
         for key in (*sets, *removes):
             if (now := document.get(key)) is not None:
-                total -= hash_of(key, now)
+                total -= entry_hash(key, now)
             if (before := sets.get(key)) is not None:
-                total += hash_of(key, before)
+                total += entry_hash(key, before)
         token = document.history[0].commit.token if document.history else document.token
-        digest = (total % MODULUS).to_bytes(WIDTH, "big")
+        digest = (total % MODULUS).to_bytes(DIGEST_BYTES, "big")
         made: list[Record] = list(parts(then.items(), oldest, token, digest)) if oldest else []
         made += [Committed(past.commit) for past in document.history]
         made.append(Promised(self.promised))
@@ -171,7 +171,7 @@
             made.append(Incarnations(self.vector))
         return made
 
-    def rewritten(self) -> None:
+    def on_rewritten(self) -> None:
         """The folder has what `records` gave."""
         self.unkept.clear()
         self.failing = False
@@ -181,7 +181,7 @@
         records: list[Record] = [Promised(promised), Incarnations(vector)]
         if self._kept(records if pending is None else [*records, pending]):
             self.vector, self.promised, self.pending = vector, promised, pending
-            self.said.append(f"votes again, as incarnation {vector[self.name]}")
+            self.log_lines.append(f"votes again, as incarnation {vector[self.name]}")
 
     # Learning
 
@@ -211,7 +211,7 @@
         except DocumentError as fault:
             return self._unsound(str(fault))
         self.unkept += snapshot
-        self.installed += 1
+        self.snapshots_installed += 1
         self._forget_pending()
         self.flush()
 
@@ -226,7 +226,7 @@
 
     def _unsound(self, text: str) -> None:
         self.counts["unsound commit"] += 1
-        self.said.append(f"a commit was not taken: {text}")
+        self.log_lines.append(f"a commit was not taken: {text}")
 
     # Voting
 
@@ -246,7 +246,7 @@
         """Phase 2b; None: no answer."""
         if not self.voting:
             return None
-        found = decide(self.promised, self.pending, self.document.revision, message)
+        found = apply_accept(self.promised, self.pending, self.document.revision, message)
         if found is None:
             self.counts["accept refused"] += 1
         else:
@@ -300,13 +300,13 @@
         self.answers: dict[str, Recovered] = {}
         self.without: set[str] = set()  # that have lost theirs, too
 
-    def counted(self) -> set[str]:
+    def current_answers(self) -> set[str]:
         """Whose answers count."""
-        return counted({name: answer.vector for name, answer in self.answers.items()})
+        return current_answers({name: answer.vector for name, answer in self.answers.items()})
 
     def asks(self) -> Iterator[tuple[str, Recover]]:
         """What to send to whom, again and again."""
-        done = self.counted()
+        done = self.current_answers()
         for name in self.voter.voters:
             if name != self.voter.name and name not in done:
                 yield name, Recover(self.uid, self.incarnation)
@@ -315,8 +315,8 @@
         """How far it is, for the operators."""
         wanted, all_of_them = majority(len(self.voter.voters)), len(self.voter.voters)
         line = (
-            f"no vote: the folder was empty, {len(self.counted())} of the {wanted} voters needed have "
-            "answered"
+            f"no vote: the folder was empty, {len(self.current_answers())} of the {wanted} voters needed "
+            "have answered"
         )
         if all_of_them - 1 - len(self.without) < wanted:
             line += (
@@ -337,7 +337,7 @@
 
     def proceed(self) -> None:
         """Go on if enough have answered."""
-        voter, done = self.voter, self.counted()
+        voter, done = self.voter, self.current_answers()
         if len(done) < majority(len(voter.voters)):
             return
         answers = [self.answers[name] for name in done]
@@ -352,5 +352,5 @@
         voter.adopt(
             vector | {voter.name: self.incarnation},
             max(answer.promised for answer in answers),
-            again(voter.document.revision, (answer.pending for answer in answers)),
+            highest_accepted(voter.document.revision, (answer.pending for answer in answers)),
         )
--- a/willownotch/controlplane/writer.py
+++ b/willownotch/controlplane/writer.py
@@ -27,8 +27,8 @@
     Promise,
     Vector,
     Vote,
-    again,
-    counted,
+    current_answers,
+    highest_accepted,
     majority,
 )
 from willownotch.controlplane.document import Change, Commit, DocumentError, check_change
@@ -202,7 +202,7 @@
         """Go on as far as possible."""
         document = self.voter.document
         if self.stage is Stage.PREPARING:
-            names = counted({name: promise.vector for name, promise in self.promises.items()})
+            names = current_answers({name: promise.vector for name, promise in self.promises.items()})
             if len(names) < majority(len(self.voter.voters)):
                 return
             promises = [self.promises[name] for name in names]
@@ -210,7 +210,7 @@
             if document.revision < latest:
                 return  # it is caught up with first
             self.stage, self.tries = Stage.LEADING, 0
-            found = again(document.revision, (promise.pending for promise in promises))
+            found = highest_accepted(document.revision, (promise.pending for promise in promises))
             self.promises.clear()
             if found is not None and found.commit is not None:
                 self.counts["committed again"] += 1
@@ -233,7 +233,7 @@
             if proposal.asked is not None:
                 self.queue.appendleft(proposal.asked)
             return True
-        if len(counted(proposal.votes)) < majority(len(self.voter.voters)):
+        if len(current_answers(proposal.votes)) < majority(len(self.voter.voters)):
             return False
         if accept.commit is None:
             self.proposal = None
@@ -293,10 +293,10 @@
     def _ask(self, now: float) -> None:
         """Ask all that have not answered, or whose answer does not count."""
         if self.stage is Stage.PREPARING:
-            done = counted({name: promise.vector for name, promise in self.promises.items()})
+            done = current_answers({name: promise.vector for name, promise in self.promises.items()})
             message: Prepare | Accept = Prepare(self.ballot)
         elif self.proposal is not None:
-            done, message = counted(self.proposal.votes), self.proposal.accept
+            done, message = current_answers(self.proposal.votes), self.proposal.accept
         else:
             return
         self.again_at = now + self.again_s
--- a/willownotch/lab/check/commits.py
+++ b/willownotch/lab/check/commits.py
@@ -136,7 +136,7 @@
 def count(answers: tuple[tuple[int, int, int], ...], lost: int) -> int:
     """How many of these answers count, (voter, new, knows) each, where the voter `lost` lost its folder."""
     return len(
-        agreement.counted(
+        agreement.current_answers(
             {str(voter): {str(lost): 2} if knows else {str(voter): 1 + new} for voter, new, knows in answers}
         )
     )
@@ -158,7 +158,7 @@
 ) -> tuple[int, ...] | None:
     """The program's rule for a voter's vote."""
     ballot, wanted, change = accept
-    found = agreement.decide(promised, kept(pending), revision, Accept(ballot, wanted, change or None))
+    found = agreement.apply_accept(promised, kept(pending), revision, Accept(ballot, wanted, change or None))
     return None if found is None else (found.ballot, found.revision, found.commit or NOTHING)
 
 
@@ -170,7 +170,7 @@
 @cache
 def again(revision: int, pendings: tuple[tuple[int, ...], ...]) -> tuple[int, ...]:
     """The program's rule for what is taken over."""
-    found = agreement.again(revision, map(kept, pendings))
+    found = agreement.highest_accepted(revision, map(kept, pendings))
     return () if found is None else (found.ballot, found.revision, found.commit or NOTHING)
 
 
