--- a/benchmarks/capacity/tier_fleet.py
+++ b/benchmarks/capacity/tier_fleet.py
@@ -34,7 +34,7 @@
 import rig
 import tier_fleet_page
 import harness
-from plane import KEYS, PLACES, Hollow, Hollows, Plane, Unsynced
+from plane import KEYS, PLACES, FollowerHost, FollowerLoop, Plane, Unsynced
 from tier_fleet_page import CHANGE_S, ENTRIES, SIZES
 
 from willownotch.channel.client import AskError
@@ -57,7 +57,7 @@
         name: FollowedSettings(tuple(m["address"]), m["zone"], m["region"])
         for name, m in first["members"].items()
     }
-    hollows, zones = Hollows(), {}
+    follower_loop, zones = FollowerLoop(), {}
     for one in first["senders"]:
         settings = FollowSettings(
             folder=one["folder"],
@@ -67,51 +67,51 @@
             region=one["region"],
             member=members,
         )
-        hollow = Hollow(
+        hollow = FollowerHost(
             one["name"], settings, read_keys(KEYS), seed=one["seed"], files=Unsynced(), entries=False
         )
         zones[one["name"]] = one["region"], one["zone"]
-        hollows.add(hollow)
-    told = {hollow.name: 0 for hollow in hollows.all}
+        follower_loop.add(hollow)
+    told = {hollow.name: 0 for hollow in follower_loop.all}
 
     def chosen(order):
-        return [h for h in hollows.all if order.get("names") is None or h.name in order["names"]]
+        return [h for h in follower_loop.all if order.get("names") is None or h.name in order["names"]]
 
     def begin(order):
         for hollow in chosen(order):
-            hollows.later(lambda h=hollow: hollows.begin(h))
+            follower_loop.later(lambda h=hollow: follower_loop.begin(h))
 
     def end(order):
         for hollow in chosen(order):
             hollow.end()
 
     def conditions(order):
-        for hollow in hollows.all:
+        for hollow in follower_loop.all:
             hollow.loss = order["loss"]
             hollow.cut = frozenset(tuple(a) for a in order["cut"].get(zones[hollow.name][0], ()))
 
     def report(order):
         events = []
-        for hollow in hollows.all:
+        for hollow in follower_loop.all:
             events += [(hollow.name, seen.at, seen.revision) for seen in hollow.history[told[hollow.name] :]]
             told[hollow.name] = len(hollow.history)
         return {
             "events": events,
             "cpu": time.process_time(),
             "rss_kb": rig.rss_kb(os.getpid()),
-            "running": sum(h.running for h in hollows.all),
+            "running": sum(h.running for h in follower_loop.all),
             **{
-                what: sum(getattr(h, what) for h in hollows.all)
+                what: sum(getattr(h, what) for h in follower_loop.all)
                 for what in ("sent", "sent_bytes", "received", "received_bytes", "dropped")
             },
         }
 
     does = {"begin": begin, "end": end, "weather": conditions, "report": report}
-    threading.Thread(target=hollows.run, daemon=True).start()
+    threading.Thread(target=follower_loop.run, daemon=True).start()
     print(json.dumps({"rss_kb": rig.rss_kb(os.getpid())}), flush=True)
     for line in sys.stdin:
         order = json.loads(line)
-        print(json.dumps(hollows.do(lambda o=order: does[o["do"]](o)) or {}), flush=True)
+        print(json.dumps(follower_loop.do(lambda o=order: does[o["do"]](o)) or {}), flush=True)
 
 
 class Workers:
@@ -438,7 +438,7 @@
     for member in gone:
         member.start()
     for member in gone:
-        member.found()
+        member.register_addresses()
     fleet.workers.order(do="begin", names=names)
     last = max(fleet.times)
     missing = fleet.wait(last, names)
--- a/tests/following.py
+++ b/tests/following.py
@@ -13,7 +13,7 @@
 from willownotch.controlplane import wire
 from willownotch.controlplane.document import Change, Commit, Document
 from willownotch.controlplane.entries import parse
-from willownotch.controlplane.serving import Serving
+from willownotch.controlplane.serving import FollowerService
 from willownotch.controlplane.settings import MemberSettings
 from willownotch.peers.seal import Seal, read_keys
 
@@ -30,7 +30,7 @@
         self.sock.settimeout(0.02)
         self.seal = Seal(7, read_keys(KEYS), wire.decode, wire.VERSION)
         self.lock, self.open, self.deaf = threading.Lock(), True, False
-        self.serving = Serving(
+        self.serving = FollowerService(
             name, self.document, MemberSettings(folder="x", **settings), time.monotonic(), Random(1)
         )
         threading.Thread(target=self.run, daemon=True).start()
--- a/tests/plane.py
+++ b/tests/plane.py
@@ -85,7 +85,7 @@
         pass
 
 
-class Hollow:
+class FollowerHost:
     """One follower on a socket. `cut` (members' addresses) and `loss` hold for its datagrams, both ways."""
 
     def __init__(self, name, settings, keys, host="127.0.0.1", seed=0, files=None, entries=True):
@@ -187,7 +187,7 @@
         return self.history[-1].revision if self.history else 0
 
 
-class Hollows:
+class FollowerLoop:
     """Many followers on one thread. Other threads hand it what is to be done (`do`)."""
 
     def __init__(self):
@@ -312,7 +312,7 @@
         host, port = until(found, PATIENCE).rsplit(":", 1)
         return host, int(port)
 
-    def found(self):
+    def register_addresses(self):
         """Let the network know where it is."""
         peers, followers = self.listens("peers"), self.listens("followers")
         if self.plane.doors:
@@ -441,8 +441,8 @@
         self.where = {f"m{n}": place for n, place in enumerate(places)}
         self.members = [Member(self, n) for n in range(len(places))]
         self.asked, self.lock = [], threading.Lock()
-        self.hollows, self.followers, self.senders, self.parties = Hollows(), [], [], []
-        self.thread = threading.Thread(target=self.hollows.run, daemon=True)
+        self.follower_loop, self.followers, self.senders, self.parties = FollowerLoop(), [], [], []
+        self.thread = threading.Thread(target=self.follower_loop.run, daemon=True)
         self.thread.start()
         try:
             self.begin()
@@ -459,9 +459,9 @@
         for member in self.members:
             member.start(bootstrap=True)
             if not self.relay:  # the seeds have to be known
-                member.found()
+                member.register_addresses()
         for member in self.members:
-            member.found()
+            member.register_addresses()
 
     def member_settings(self, member):
         """The settings file of one member."""
@@ -484,7 +484,7 @@
         if emptied:
             shutil.rmtree(member.folder)
         member.start()
-        member.found()
+        member.register_addresses()
 
     def writer(self, among=None):
         """Wait until there is one that says it is the writer."""
@@ -513,7 +513,7 @@
             member={m.name: FollowedSettings(m.followers, m.zone, m.region) for m in self.members},
             **self.follow,
         )
-        hollow = Hollow(
+        hollow = FollowerHost(
             name,
             settings,
             read_keys(KEYS),
@@ -525,7 +525,7 @@
             self.relay.door(name)
             self.relay.behind(name, hollow.sock.getsockname())
         self.followers.append(hollow)
-        self.hollows.do(lambda: self.hollows.add(hollow))
+        self.follower_loop.do(lambda: self.follower_loop.add(hollow))
         return hollow
 
     def add_sender(self, number, region, zone):
@@ -544,14 +544,14 @@
 
     def start_followers(self):
         for hollow in self.followers:
-            self.hollows.do(lambda h=hollow: self.hollows.begin(h))
+            self.follower_loop.do(lambda h=hollow: self.follower_loop.begin(h))
         return self
 
     def end_follower(self, hollow):
-        self.hollows.do(hollow.end)
+        self.follower_loop.do(hollow.end)
 
     def begin_follower(self, hollow):
-        self.hollows.do(lambda: self.hollows.begin(hollow))
+        self.follower_loop.do(lambda: self.follower_loop.begin(hollow))
 
     # The network.
 
@@ -689,10 +689,10 @@
         print(*[a for a in self.asked if a.outcome == "unknown"], sep="\n")
 
     def close(self):
-        self.hollows.ending = True
-        self.hollows.later(lambda: None)
+        self.follower_loop.ending = True
+        self.follower_loop.later(lambda: None)
         self.thread.join(PATIENCE)
-        self.hollows.close()
+        self.follower_loop.close()
         for member in self.members:
             if member.process is not None:
                 member.process.kill()
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -13,25 +13,25 @@
 from willownotch.controlplane.fetching import WINDOW, Fetching
 from willownotch.controlplane.follower import Follower, ranked
 from willownotch.controlplane.held import STEPS_MOST, Held
-from willownotch.controlplane.rate import Rate
-from willownotch.controlplane.serving import ARRIVED_S, REMEMBERED, Serving
+from willownotch.controlplane.serving import RECENT_ARRIVAL_S, REMEMBERED_FACTOR, FollowerService
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
 from willownotch.controlplane.simulated import MEMBERS, ZONES, Conditions, Plane
+from willownotch.controlplane.token_bucket import TokenBucket
 from willownotch.controlplane.wire import (
-    DATAGRAM,
-    Counts,
+    MAX_DATAGRAM_BYTES,
     Fetch,
-    How,
-    Kind,
+    FollowerCounts,
     Leave,
-    News,
     Part,
+    PartKind,
     Piece,
     Poll,
+    PollReply,
     Push,
+    RefusalReason,
     Refused,
-    Tree,
-    Why,
+    SnapshotDigests,
+    UpdateMethod,
 )
 
 SETTINGS = FollowSettings(
@@ -111,8 +111,8 @@
         if not isinstance(poll, Poll):
             return None
         delta = document.delta(poll.revision) if poll.revision < document.revision else None
-        how, data = (How.INLINE, wire.encode(delta)) if delta else (How.NOTHING, b"")
-        news = News(
+        how, data = (UpdateMethod.INLINE, wire.encode(delta)) if delta else (UpdateMethod.NOTHING, b"")
+        news = PollReply(
             poll.member, poll.number, document.revision, document.token, document.digest, how, len(data), data
         )
         return msgspec.structs.replace(news, **other)
@@ -396,7 +396,7 @@
     def answer(send):
         times.append((round(alone.now, 6), send.address[0]))
         if send.address[0] == "near" and len(times) == 1:
-            return Refused("near", send.message.number, Why.RATE, 4000)
+            return Refused("near", send.message.number, RefusalReason.RATE, 4000)
         return truthful(Document())(send) if send.address[0] == "near" else None
 
     alone.run(6.0, answer)
@@ -404,7 +404,7 @@
     alone = Alone()
     alone.run(
         10.0,
-        lambda send: Refused("near", send.message.number, Why.FULL, 25_000)
+        lambda send: Refused("near", send.message.number, RefusalReason.FULL, 25_000)
         if send.address[0] == "near"
         else truthful(Document())(send),
     )
@@ -443,9 +443,9 @@
     before = alone.follower.held.document.digest
     alone.run(2.0, truthful(right, delta=wire.encode(delta)))
     assert alone.follower.held.document.digest == before and not alone.follower.offered and not alone.kept
-    assert [fetch.part.kind for fetch in alone.asked(Fetch)][:1] == [Kind.GROUPS]
+    assert [fetch.part.kind for fetch in alone.asked(Fetch)][:1] == [PartKind.GROUPS]
     fetch = alone.asked(Fetch)[0]
-    forged = wire.encode(Tree(4, 1, right.digest, b"".join(document_of(5).groups())))
+    forged = wire.encode(SnapshotDigests(4, 1, right.digest, b"".join(document_of(5).groups())))
     alone.say(Piece("near", fetch.number, 0, 1, forged))
     assert alone.follower.member is None and alone.follower.counters["wrong digest"] == 2
     alone.run(12.0, truthful(right))
@@ -458,34 +458,34 @@
     comparison = Comparison(document, buckets)
     part = FIRST
     for _ in range(2):
-        (part, _), *more = comparison.take(part, Serving._encoded(snapshot, part))
+        (part, _), *more = comparison.take(part, FollowerService._encoded(snapshot, part))
     return snapshot, comparison, [part, *(one for one, _ in more)]
 
 
 def test_entries_that_do_not_add_up_or_lie_elsewhere():
     snapshot, comparison, parts = compared(Document(), {})
-    entries = wire.read_entries(Serving._encoded(snapshot, parts[0]))
+    entries = wire.read_entries(FollowerService._encoded(snapshot, parts[0]))
     for wrong in ({key: b"forged" for key in entries}, {}, entries | {"elsewhere": b"1"}):
         with pytest.raises(ValueError, match="another"):
             comparison.take(parts[0], wire.encode(wrong))
     for part in parts:
-        assert comparison.take(part, Serving._encoded(snapshot, part)) == []
+        assert comparison.take(part, FollowerService._encoded(snapshot, part)) == []
     assert comparison.whole() and dict(comparison.delta().sets) == dict(snapshot.items())
 
 
 def test_buckets_that_were_fetched_are_not_asked_for_again():
     snapshot, first, parts = compared(Document(), buckets := {})
-    first.take(parts[0], Serving._encoded(snapshot, parts[0]))
+    first.take(parts[0], FollowerService._encoded(snapshot, parts[0]))
     _, second, again = compared(Document(), buckets)
     assert len(parts) == 3 and again == parts[1:]
     for part in again:
-        second.take(part, Serving._encoded(snapshot, part))
+        second.take(part, FollowerService._encoded(snapshot, part))
     assert second.whole() and dict(second.delta().sets) == dict(snapshot.items())
 
 
 def test_a_tree_that_leads_nowhere_is_as_wrong():
     alone = Alone(document_of(3))
-    core = Serving("near", document_of(2, token=5), MemberSettings(), 0.0, Random(1))
+    core = FollowerService("near", document_of(2, token=5), MemberSettings(), 0.0, Random(1))
 
     def carry(sends):
         for send in sends:
@@ -493,8 +493,8 @@
                 continue
             for reply in core.receive(alone.now, ("s1", 1), send.message):
                 message = reply.message
-                if isinstance(message, News):
-                    message = msgspec.structs.replace(message, revision=9, how=How.TREE)
+                if isinstance(message, PollReply):
+                    message = msgspec.structs.replace(message, revision=9, method=UpdateMethod.TREE)
                 carry(alone.follower.receive(alone.now, ("near", 1), message))
 
     while alone.now < 2.0:
@@ -514,9 +514,9 @@
 
 
 def test_a_revision_that_is_told_and_never_delivered():
-    for how in (How.NOTHING, How.DELTA, How.TREE):
+    for how in (UpdateMethod.NOTHING, UpdateMethod.DELTA, UpdateMethod.TREE):
         alone, right = Alone(document_of(3)), document_of(4)
-        lie = truthful(right, how=how, size=5000, delta=b"", revision=9)
+        lie = truthful(right, method=how, size=5000, delta=b"", revision=9)
         alone.run(
             60.0,
             lambda send, lie=lie, right=right: (lie if send.address[0] == "near" else truthful(right))(send),
@@ -532,9 +532,9 @@
         if send.address[0] != "near":
             return truthful(right)(send)
         if isinstance(send.message, Fetch):
-            return Refused("near", send.message.number, Why.BUSY, 1500)
+            return Refused("near", send.message.number, RefusalReason.BUSY, 1500)
         return (
-            truthful(right, how=How.DELTA, size=5000, delta=b"", revision=9)(send)
+            truthful(right, method=UpdateMethod.DELTA, size=5000, delta=b"", revision=9)(send)
             if isinstance(send.message, Poll)
             else None
         )
@@ -559,8 +559,8 @@
     alone = Alone(document_of(3))
     alone.run(8.0, truthful(document_of(3)))
     number = alone.asked()[0].number
-    alone.say(News("near", number, 9, 9, bytes(16), How.DELTA, 5000))
-    alone.say(News("near", 10_000, 9, 9, bytes(16), How.DELTA, 5000))
+    alone.say(PollReply("near", number, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
+    alone.say(PollReply("near", 10_000, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
     assert alone.follower.counters["late"] == 2 and not alone.asked(Fetch)
 
 
@@ -680,7 +680,7 @@
 
     def __init__(self, revisions=3, **settings):
         self.document = document_of(revisions)
-        self.core = Serving("near", self.document, MemberSettings(**settings), 0.0, Random(1))
+        self.core = FollowerService("near", self.document, MemberSettings(**settings), 0.0, Random(1))
 
     def poll(self, now, name="s1", revision=0, number=None, uid=7, **more):
         number = int(now * 1000) if number is None else number
@@ -706,15 +706,15 @@
     member = Member()
     (news,) = member.poll(0.0, revision=1)
     delta = wire.read_delta(news.delta)
-    assert (news.how, news.revision, delta.since, delta.revision) == (How.INLINE, 3, 1, 3)
-    assert member.poll(1.0, revision=3)[0].how is How.NOTHING
-    assert member.poll(2.0, revision=9)[0].how is How.NOTHING
+    assert (news.method, news.revision, delta.since, delta.revision) == (UpdateMethod.INLINE, 3, 1, 3)
+    assert member.poll(1.0, revision=3)[0].method is UpdateMethod.NOTHING
+    assert member.poll(2.0, revision=9)[0].method is UpdateMethod.NOTHING
     member.document.history.clear()
-    assert member.poll(3.0, revision=1)[0].how is How.TREE
+    assert member.poll(3.0, revision=1)[0].method is UpdateMethod.TREE
     commit(member.document, {"big": bytes(5000)})
     (news,) = member.poll(4.0, revision=3)
-    assert news.how is How.DELTA and news.size > 5000
-    pieces = member.fetch(4.0, Part(Kind.DELTA, 4, 3), (0, 1, 2, 3, 4, 9))
+    assert news.method is UpdateMethod.DELTA and news.size > 5000
+    pieces = member.fetch(4.0, Part(PartKind.DELTA, 4, 3), (0, 1, 2, 3, 4, 9))
     assert [piece.piece for piece in pieces] == [0, 1, 2, 3, 4] and {p.pieces for p in pieces} == {5}
     assert isinstance(wire.read_delta(b"".join(piece.data for piece in pieces)), Delta)
 
@@ -767,20 +767,24 @@
     assert refused[-1][0] == 9000
     assert member.poll(0.0, "s99")[0].after_ms == 9000  # asking again changes nothing
     for ms, n in refused:
-        assert isinstance(member.poll(ms / 1000 + 0.01, f"s{n}")[0], News)
+        assert isinstance(member.poll(ms / 1000 + 0.01, f"s{n}")[0], PollReply)
     crowd = [member.poll(20.0, f"t{n}")[0] for n in range(400)]
     late = {
-        why: [answer.after_ms for answer in crowd if isinstance(answer, Refused) and answer.why is why]
-        for why in (Why.RATE, Why.FULL)
+        why: [answer.after_ms for answer in crowd if isinstance(answer, Refused) and answer.reason is why]
+        for why in (RefusalReason.RATE, RefusalReason.FULL)
     }
-    assert late[Why.FULL] and max(late[Why.FULL]) <= 45_000 and max(late[Why.RATE]) <= 30_000
+    assert (
+        late[RefusalReason.FULL]
+        and max(late[RefusalReason.FULL]) <= 45_000
+        and max(late[RefusalReason.RATE]) <= 30_000
+    )
     assert len(member.core._slots) <= 310
 
 
 def test_a_probe_counts_for_nothing():
     member = Member()
     (news,) = member.poll(0.0, probe=True, revision=1)
-    assert news.how is How.NOTHING and not member.core.followers
+    assert news.method is UpdateMethod.NOTHING and not member.core.followers
     assert member.core.counts(0.0).followers == 0
 
 
@@ -788,15 +792,17 @@
     member = Member(copies=1)
     for name in ("s1", "s2", "s3"):
         member.poll(0.0, name)
-    groups = Part(Kind.GROUPS, 0)
+    groups = Part(PartKind.GROUPS, 0)
     assert isinstance(member.fetch(0.0, groups, name="s1")[0], Piece)
     for name in ("s2", "s3"):
         (answer,) = member.fetch(0.1, groups, name=name)
-        assert answer.why is Why.COPIES
-    assert member.fetch(0.2, Part(Kind.BUCKETS, 3, 0, 1), name="s2")[0].why is Why.GONE  # no way round it
-    assert member.fetch(0.2, Part(Kind.BUCKETS, 2, 0, 1), name="s1")[0].why is Why.GONE
+        assert answer.reason is RefusalReason.COPIES
+    assert (
+        member.fetch(0.2, Part(PartKind.BUCKETS, 3, 0, 1), name="s2")[0].reason is RefusalReason.GONE
+    )  # no way round it
+    assert member.fetch(0.2, Part(PartKind.BUCKETS, 2, 0, 1), name="s1")[0].reason is RefusalReason.GONE
     member.poll(5.0, "s1", revision=3)  # has it all
-    assert member.fetch(5.1, groups, name="s3")[0].why is Why.COPIES  # s2 was first
+    assert member.fetch(5.1, groups, name="s3")[0].reason is RefusalReason.COPIES  # s2 was first
     assert isinstance(member.fetch(5.2, groups, name="s2")[0], Piece)
     for at in (9.0, 13.0):
         member.fetch(at, groups, name="s3")
@@ -809,8 +815,8 @@
     tops = []
     for name, revision in (("s1", 0), ("s2", 1), ("s3", 3)):
         member.poll(0.0, name, revision=revision)
-        (piece,) = member.fetch(0.0, Part(Kind.GROUPS, 0), name=name)
-        tops.append(wire.read_tree(piece.data).revision)
+        (piece,) = member.fetch(0.0, Part(PartKind.GROUPS, 0), name=name)
+        tops.append(wire.read_snapshot_digests(piece.data).revision)
         if name == "s2":
             commit(member.document, {"new": b"1"})
     assert tops == [3, 3, 4]  # what s3 holds already would lead it nowhere
@@ -819,20 +825,20 @@
 @pytest.mark.parametrize(
     "part",
     [
-        Part(Kind.DELTA, 3, 99),
-        Part(Kind.DELTA, 1 << 60, 1),
-        Part(Kind.ENTRIES, 3, 64, 1),
-        Part(Kind.ENTRIES, 3, -1, 1),
-        Part(Kind.ENTRIES, 3, 0, 1 << 64),
-        Part(Kind.ENTRIES, 3, 0, -1),
+        Part(PartKind.DELTA, 3, 99),
+        Part(PartKind.DELTA, 1 << 60, 1),
+        Part(PartKind.ENTRIES, 3, 64, 1),
+        Part(PartKind.ENTRIES, 3, -1, 1),
+        Part(PartKind.ENTRIES, 3, 0, 1 << 64),
+        Part(PartKind.ENTRIES, 3, 0, -1),
     ],
 )
 def test_a_part_that_is_not_there(part):
     member = Member()
     member.poll(0.0)
-    member.fetch(0.0, Part(Kind.GROUPS, 0))
+    member.fetch(0.0, Part(PartKind.GROUPS, 0))
     (answer,) = member.fetch(0.1, part)
-    assert answer.why is Why.GONE
+    assert answer.reason is RefusalReason.GONE
     assert member.fetch(0.1, part, name="stranger") == []
 
 
@@ -841,10 +847,10 @@
     member.poll(0.0)
     commit(member.document, {"big": bytes(60_000)})
     member.poll(0.1, revision=3)
-    part, answers = Part(Kind.DELTA, 4, 3), []
+    part, answers = Part(PartKind.DELTA, 4, 3), []
     for first in range(0, 48, 16):
         answers += member.fetch(0.2, part, tuple(range(first, first + 16)))
-    assert isinstance(answers[-1], Refused) and answers[-1].why is Why.BUSY
+    assert isinstance(answers[-1], Refused) and answers[-1].reason is RefusalReason.BUSY
     assert len(member.core._pieces) <= 64
     other = Member(rate=4096)
     other.poll(0.0)
@@ -888,7 +894,7 @@
     for n in range(400):
         member.poll(n * 0.1, f"s{n}", revision=2)
         member.core.tick(n * 0.1)
-        assert len(member.core.followers) <= REMEMBERED * 50 + 10
+        assert len(member.core.followers) <= REMEMBERED_FACTOR * 50 + 10
     member = Member(admissions=10_000, most_followers=2000)
     for n in range(2000):
         member.poll(0.0, f"s{n}", revision=3, in_force=n % 3, refused=3, text="x" * 200)
@@ -906,13 +912,13 @@
     here.poll(12.0, revision=3)  # and it came back
     here.core.heard(12.5, "far", there.core.counts(12.5))
     assert set(here.core.followers) == {"s1"}
-    assert not there.core.counts(10.0 + ARRIVED_S + 0.1).arrived
+    assert not there.core.counts(10.0 + RECENT_ARRIVAL_S + 0.1).arrived
 
 
 def test_status_tells_all_members_and_which_are_missing():
     member = Member(voters=("near", "far", "gone"))
     member.poll(0.0, revision=3)
-    other = Counts("far", 2, 1, 500, 5, ((2, 3), (1, 2)), 0, 2, (), 0, (), 1, (), ())
+    other = FollowerCounts("far", 2, 1, 500, 5, ((2, 3), (1, 2)), 0, 2, (), 0, (), 1, (), ())
     member.core.heard(0.0, "far", other)
     view = member.core.status(5.0)
     assert view.known == 6 and view.in_force == {"3": 1, "2": 3, "1": 2} and view.missing == ["gone"]
@@ -941,7 +947,7 @@
 def test_what_is_meant_for_another_member_or_is_no_question():
     member = Member()
     assert member.core.receive(0.0, ("s1", 1), Poll("s1", 7, 1, "far", 3000, 0, 0, 0)) == []
-    assert member.core.receive(0.0, ("s1", 1), News("s1", 1, 9, 9, bytes(16))) == []
+    assert member.core.receive(0.0, ("s1", 1), PollReply("s1", 1, 9, 9, bytes(16))) == []
     assert member.core.counters == {"for another": 1, "unexpected": 1} and not member.core.followers
 
 
@@ -959,9 +965,9 @@
         wire.encode(Poll("", 7, 1, "near", 3000, 0, 0, 0)),
         wire.encode(Poll("s" * 101, 7, 1, "near", 3000, 0, 0, 0)),
         wire.encode(Poll("s1", 7, 1, "near", 3000, 0, 0, 0, 1, "x" * 201)),
-        wire.encode(Fetch("s1", "near", 1, Part(Kind.DELTA, 1), ())),
-        wire.encode(Fetch("s1", "near", 1, Part(Kind.DELTA, 1), tuple(range(17)))),
-        wire.encode(Refused("near", 1, Why.FULL, 1))[:-1],
+        wire.encode(Fetch("s1", "near", 1, Part(PartKind.DELTA, 1), ())),
+        wire.encode(Fetch("s1", "near", 1, Part(PartKind.DELTA, 1), tuple(range(17)))),
+        wire.encode(Refused("near", 1, RefusalReason.FULL, 1))[:-1],
         wire.encode([83, "near", 1, 99, 1]),
     ],
 )
@@ -974,18 +980,28 @@
     name, large = "n" * 100, (1 << 63) - 1
     for message in (
         Poll(name, large, large, name, large, large, large, large, large, "x" * 200, True),
-        News(name, large, large, large, bytes(16), How.INLINE, large, bytes(wire.INLINE), large),
-        Push(name, large, large, bytes(wire.INLINE)),
-        Piece(name, large, large, large, bytes(wire.PIECE)),
-        Fetch(name, name, large, Part(Kind.ENTRIES, large, 63, (1 << 64) - 1), (large,) * 16),
+        PollReply(
+            name,
+            large,
+            large,
+            large,
+            bytes(16),
+            UpdateMethod.INLINE,
+            large,
+            bytes(wire.MAX_INLINE_BYTES),
+            large,
+        ),
+        Push(name, large, large, bytes(wire.MAX_INLINE_BYTES)),
+        Piece(name, large, large, large, bytes(wire.PIECE_BYTES)),
+        Fetch(name, name, large, Part(PartKind.ENTRIES, large, 63, (1 << 64) - 1), (large,) * 16),
     ):
         data = wire.encode(message)
-        assert wire.decode(data) == message and len(data) + 32 <= DATAGRAM
+        assert wire.decode(data) == message and len(data) + 32 <= MAX_DATAGRAM_BYTES
 
 
 def test_a_window_a_rate_and_repeats_of_what_was_lost():
     fetching = Fetching("s1", "near", 10_000, 1.0, 0.0, 0)
-    fetching.want(Part(Kind.DELTA, 2, 1), 100)
+    fetching.want(Part(PartKind.DELTA, 2, 1), 100)
     first = [piece for fetch in fetching.asks(0.0) for piece in fetch.pieces]
     assert first == list(range(WINDOW)) and fetching.asks(0.5) == []
     for piece in first[5:]:
@@ -998,16 +1014,16 @@
     whole = [fetching.take(2.0, Piece("near", 1, piece, 100, b"%d," % piece)) for piece in range(100)]
     assert whole[-1] is not None and fetching.due() is None and not fetching.asks(9.0)
     assert whole[-1][1].startswith(b"0,1,2,3,4,x")
-    fetching.want(Part(Kind.DELTA, 3, 1), 50)
+    fetching.want(Part(PartKind.DELTA, 3, 1), 50)
     assert fetching.asks(10.0)
     fetching.busy(11.0, 5.0)
     assert fetching.asks(15.0) == [] and fetching.due() >= 16.0 and fetching.asks(16.0)[0].pieces[0] == 0
 
 
 def test_a_rate_is_held_and_its_debt_is_bounded():
-    rate = Rate(10.0, 5.0, 0.0)
-    assert sum(rate.spend(0.0) for _ in range(20)) == 5
-    assert rate.when(0.0, 1.0) == pytest.approx(0.1) and rate.spend(0.1)
+    rate = TokenBucket(10.0, 5.0, 0.0)
+    assert sum(rate.try_spend(0.0) for _ in range(20)) == 5
+    assert rate.ready_at(0.0, 1.0) == pytest.approx(0.1) and rate.try_spend(0.1)
     for _ in range(100):
-        rate.force(0.1, 5.0)
-    assert rate.left(0.1) == -10.0 and not rate.spend(1.0) and rate.spend(1.2)
+        rate.spend_into_debt(0.1, 5.0)
+    assert rate.available(0.1) == -10.0 and not rate.try_spend(1.0) and rate.try_spend(1.2)
--- a/tests/test_controlplane_member.py
+++ b/tests/test_controlplane_member.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 from harness import ROOT, until
-from tiered import PATIENCE, Tier
+from member_processes import PATIENCE, MemberFleet
 
 from willownotch.channel.client import AskError
 from willownotch.controlplane import store as stores
@@ -31,7 +31,7 @@
     made = []
 
     def make(number=3, more="", start=True):
-        made.append(Tier(tmp_path, number, more))
+        made.append(MemberFleet(tmp_path, number, more))
         return made[0].start() if start else made[0]
 
     yield make
@@ -45,7 +45,7 @@
     def __init__(self, tier, name="t0", version=wire.VERSION, keys=None):
         self.name, self.uid = name, 77
         keys = keys or read_keys(tier.keys.read_text())
-        self.seal = Seal(self.uid, keys, wire.decode, version, wire.DATAGRAM)
+        self.seal = Seal(self.uid, keys, wire.decode, version, wire.MAX_DATAGRAM_BYTES)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.number = 0
@@ -93,7 +93,7 @@
     assert found[0]["entries"] == {f"data/k{n}": {"n": n} for n in range(3)}
     for n, member in enumerate(plane.members):
         news = Asker(plane, f"t{n}").ask(member)
-        assert isinstance(news, wire.News) and news.revision == 3
+        assert isinstance(news, wire.PollReply) and news.revision == 3
         assert news.digest.hex() == found[0]["digest"]
         delta = wire.read_delta(news.delta)
         assert delta.sets["data/k1"] == b'{"n":1}' and delta.since == 0
@@ -290,14 +290,14 @@
     # Authentic ones that make no sense.
     for message in (
         wire.Poll("", 77, 1, member.name, 3000, 0, 0, 0),
-        wire.Fetch("t0", member.name, 1, wire.Part(wire.Kind.DELTA, 9, 1), ()),
-        wire.Fetch("stranger", member.name, 1, wire.Part(wire.Kind.GROUPS, 0), (0,)),
+        wire.Fetch("t0", member.name, 1, wire.Part(wire.PartKind.DELTA, 9, 1), ()),
+        wire.Fetch("stranger", member.name, 1, wire.Part(wire.PartKind.GROUPS, 0), (0,)),
         wire.Poll("t0", 77, 1, "another", 3000, 0, 0, 0),
-        wire.News("t0", 1, 9, 9, b"x" * 16),
+        wire.PollReply("t0", 1, 9, 9, b"x" * 16),
     ):
         asker.send(member, asker.seal.close(message))
     news = asker.ask(member)
-    while not isinstance(news, wire.News):
+    while not isinstance(news, wire.PollReply):
         news = asker.ask(member)
     until(lambda: member.status()["traffic"].get("datagrams for followers unreadable") == 2, PATIENCE)
     assert member.change(0, {"data/a": 1})["outcome"] == "committed"
@@ -441,7 +441,7 @@
     assert writer.status()["apart_s"] > 0
     assert writer.ask("entries")["entries"] == {"data/a": 1}
     news = Asker(plane).ask(writer)
-    assert news.revision == 1 and news.apart_ms > 0
+    assert news.revision == 1 and news.isolated_ms > 0
     asking.join(PATIENCE)
     assert found[0].returncode == 3 and "ask again by the same command with --id" in found[0].stderr, found
     again = found[0].stderr.split("same command with ")[1].split()
--- a/tests/test_controlplane_page.py
+++ b/tests/test_controlplane_page.py
@@ -63,7 +63,7 @@
 
 
 def test_what_members_and_followers_say_is_told():
-    said = re.findall(r"said\.append\(f?\"([a-z ]+)", source("voter", "commit"))
+    said = re.findall(r"log_lines\.append\(f?\"([a-z ]+)", source("voter", "commit"))
     said += re.findall(r"self\.say\(f?\"([a-z ]{8,})", source("sender"))
     assert len(said) >= 8
     for text in said:
--- a/tests/tiered.py
+++ b/tests/tiered.py
@@ -135,7 +135,7 @@
         return subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=PATIENCE)
 
 
-class Tier:
+class MemberFleet:
     """Members that know each other."""
 
     def __init__(self, path, number=3, more=""):
--- a/willownotch/commands.py
+++ b/willownotch/commands.py
@@ -15,7 +15,7 @@
 from willownotch.cli import COMPLETE_VARIABLE, EXIT_FAULTY, SETTINGS_VARIABLE, load_blocks, read_files, start
 
 if TYPE_CHECKING:
-    from willownotch.controlplane.asking import Wanted
+    from willownotch.controlplane.operator_client import ProposedChange
 
 CONFIG_OPTION = click.option("--config", metavar="FILE", help="The configuration (else $LB_CONFIG).")
 SETTINGS_OPTION = click.option(
@@ -285,9 +285,9 @@
         return input_error(fault)
 
 
-def submit_change(path: str, change_id: str | None, wanted: Wanted, as_json: bool) -> int:
+def submit_change(path: str, change_id: str | None, wanted: ProposedChange, as_json: bool) -> int:
     """Submit a change, if there is one, and print its outcome; the exit code."""
-    from willownotch.controlplane import asking
+    from willownotch.controlplane import operator_client
 
     if not wanted:
         print_result(
@@ -295,13 +295,13 @@
             as_json,
             lambda found: f"nothing to change: revision {wanted.base} has it so",
         )
-        return asking.DONE
-    found = asking.submit(path, change_id or asking.new_id(), wanted)
-    code = asking.CODES.get(found["outcome"], asking.UNKNOWN)
-    if code == asking.DONE or as_json:
-        print_result(found, as_json, lambda found: asking.outcome(found, wanted))
+        return operator_client.EXIT_DONE
+    found = operator_client.submit(path, change_id or operator_client.new_change_id(), wanted)
+    code = operator_client.EXIT_CODES.get(found["outcome"], operator_client.EXIT_UNKNOWN)
+    if code == operator_client.EXIT_DONE or as_json:
+        print_result(found, as_json, lambda found: operator_client.outcome(found, wanted))
     else:
-        click.echo(f"willownotch config: {asking.outcome(found, wanted)}", err=True)
+        click.echo(f"willownotch config: {operator_client.outcome(found, wanted)}", err=True)
     return code
 
 
@@ -323,12 +323,15 @@
     as_json: bool,
 ) -> int:
     """Replace all entries by those of FILE; entries that it does not name are removed."""
-    from willownotch.controlplane import asking, entries
+    from willownotch.controlplane import entries, operator_client
 
     def action(path: str) -> int:
         wanted = entries.parse(file.read_text(encoding="utf-8"), str(file))
         return submit_change(
-            path, change_id, asking.toward(asking.entries(path, expect), wanted, merge), as_json
+            path,
+            change_id,
+            operator_client.changes_toward(operator_client.fetch_entries(path, expect), wanted, merge),
+            as_json,
         )
 
     return run_at_member(socket, settings, action)
@@ -352,12 +355,14 @@
     as_json: bool,
 ) -> int:
     """Set the entry KEY to VALUE, a JSON text."""
-    from willownotch.controlplane import asking, entries
+    from willownotch.controlplane import entries, operator_client
 
     def action(path: str) -> int:
         wanted = entries.parse(f"{key} {value}", "KEY VALUE")
-        found = asking.entries(path, expect, key)
-        return submit_change(path, change_id, asking.toward(found, wanted, merge=True), as_json)
+        found = operator_client.fetch_entries(path, expect, key)
+        return submit_change(
+            path, change_id, operator_client.changes_toward(found, wanted, merge=True), as_json
+        )
 
     return run_at_member(socket, settings, action)
 
@@ -378,14 +383,14 @@
     as_json: bool,
 ) -> int:
     """Remove the entry KEY."""
-    from willownotch.controlplane import asking
+    from willownotch.controlplane import operator_client
 
     def action(path: str) -> int:
-        found = asking.entries(path, expect, key)
+        found = operator_client.fetch_entries(path, expect, key)
         if not found["entries"]:
             click.echo(f"willownotch config: revision {found['revision']} has no entry {key!r}", err=True)
-            return asking.REFUSED
-        return submit_change(path, change_id, asking.toward(found, {}), as_json)
+            return operator_client.EXIT_REFUSED
+        return submit_change(path, change_id, operator_client.changes_toward(found, {}), as_json)
 
     return run_at_member(socket, settings, action)
 
@@ -406,11 +411,19 @@
     as_json: bool,
 ) -> int:
     """Restore the entries of an earlier REVISION, as a new revision."""
-    from willownotch.controlplane import asking
+    from willownotch.controlplane import operator_client
 
     def action(path: str) -> int:
-        found, earlier = asking.entries(path, expect), asking.entries(path, revision)
-        return submit_change(path, change_id, asking.toward(found, asking.kept(earlier)), as_json)
+        found, earlier = (
+            operator_client.fetch_entries(path, expect),
+            operator_client.fetch_entries(path, revision),
+        )
+        return submit_change(
+            path,
+            change_id,
+            operator_client.changes_toward(found, operator_client.encoded_entries(earlier)),
+            as_json,
+        )
 
     return run_at_member(socket, settings, action)
 
@@ -425,14 +438,14 @@
     key: str | None, revision: int | None, socket: str | None, settings: str | None, as_json: bool
 ) -> int:
     """Print all entries, as `put` reads them, or the value of KEY."""
-    from willownotch.controlplane import asking, entries
+    from willownotch.controlplane import entries, operator_client
 
     def action(path: str) -> int:
-        found = asking.entries(path, revision, key)
+        found = operator_client.fetch_entries(path, revision, key)
         if key is not None and key not in found["entries"]:
             click.echo(f"willownotch config: revision {found['revision']} has no entry {key!r}", err=True)
-            return asking.REFUSED
-        kept = asking.kept(found)
+            return operator_client.EXIT_REFUSED
+        kept = operator_client.encoded_entries(found)
         print_result(
             found,
             as_json,
@@ -443,7 +456,7 @@
                 + entries.unparse(kept.items())
             ).rstrip("\n"),
         )
-        return asking.DONE
+        return operator_client.EXIT_DONE
 
     return run_at_member(socket, settings, action)
 
@@ -455,10 +468,10 @@
 def config_status(socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show the members, how many senders have which revision in force, and who lags or has refused one."""
     from willownotch.channel import client
-    from willownotch.controlplane import shown
+    from willownotch.controlplane import operator_tables
 
     def action(path: str) -> int:
-        print_result(client.ask(path, "status"), as_json, shown.status)
+        print_result(client.ask(path, "status"), as_json, operator_tables.status)
         return 0
 
     return run_at_member(socket, settings, action)
@@ -472,10 +485,10 @@
 def config_history(last: int, socket: str | None, settings: str | None, as_json: bool) -> int:
     """Show the last commits: revision, author, keys."""
     from willownotch.channel import client
-    from willownotch.controlplane import shown
+    from willownotch.controlplane import operator_tables
 
     def action(path: str) -> int:
-        print_result(client.ask(path, "history", {"last": str(last)}), as_json, shown.history)
+        print_result(client.ask(path, "history", {"last": str(last)}), as_json, operator_tables.history)
         return 0
 
     return run_at_member(socket, settings, action)
--- a/willownotch/controlplane/comparison.py
+++ b/willownotch/controlplane/comparison.py
@@ -15,10 +15,17 @@
     bucket_of,
     entry_hash,
 )
-from willownotch.controlplane.wire import PIECE, Kind, Part, Tree, read_entries, read_tree
+from willownotch.controlplane.wire import (
+    PIECE_BYTES,
+    Part,
+    PartKind,
+    SnapshotDigests,
+    read_entries,
+    read_snapshot_digests,
+)
 
 Buckets = dict[int, tuple[bytes, dict[str, bytes]]]  # by number: the digest, the entries
-FIRST = Part(Kind.GROUPS, 0)  # what is to be fetched first, of one piece
+FIRST = Part(PartKind.GROUPS, 0)  # what is to be fetched first, of one piece
 
 
 class Comparison:
@@ -27,16 +34,18 @@
 
     def __init__(self, document: Document, buckets: Buckets) -> None:
         self.document, self.buckets = document, buckets
-        self.top: Tree | None = None
+        self.top: SnapshotDigests | None = None
         self.wanted: dict[int, bytes] = {}  # buckets that differ, and the snapshot's digests of them
         self.awaited = 1  # parts
 
     def take(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
         """A part that was fetched: the parts to be fetched next, and of how many pieces they are, if that is
         known; `ValueError` if it does not add up or cannot be read."""
-        wanted = {Kind.GROUPS: self._groups, Kind.BUCKETS: self._group_buckets, Kind.ENTRIES: self._entries}[
-            part.kind
-        ](part, data)
+        wanted = {
+            PartKind.GROUPS: self._groups,
+            PartKind.BUCKETS: self._group_buckets,
+            PartKind.ENTRIES: self._entries,
+        }[part.kind](part, data)
         self.awaited += len(wanted) - 1
         return wanted
 
@@ -56,7 +65,7 @@
         )
 
     def _groups(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
-        self.top = read_tree(data)
+        self.top = read_snapshot_digests(data)
         sums = _digests(self.top.groups)
         if len(sums) != GROUPS or _sum(sums) != self.top.digest:
             raise ValueError("a tree that does not add up")
@@ -64,8 +73,8 @@
             (ours != theirs) << number
             for number, (ours, theirs) in enumerate(zip(self.document.groups(), sums, strict=True))
         )
-        pieces = -(-mask.bit_count() * GROUPS * DIGEST_BYTES // PIECE)
-        return [(Part(Kind.BUCKETS, self.top.revision, 0, mask), pieces)] if mask else []
+        pieces = -(-mask.bit_count() * GROUPS * DIGEST_BYTES // PIECE_BYTES)
+        return [(Part(PartKind.BUCKETS, self.top.revision, 0, mask), pieces)] if mask else []
 
     def _group_buckets(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
         groups = [number for number in range(GROUPS) if part.mask >> number & 1]
@@ -78,7 +87,7 @@
             if _sum(theirs) != tops[group]:
                 raise ValueError("a group that does not add up")
             if mask := self._lacking(group, theirs):
-                found.append((Part(Kind.ENTRIES, self.top.revision, group, mask), None))
+                found.append((Part(PartKind.ENTRIES, self.top.revision, group, mask), None))
         return found
 
     def _lacking(self, group: int, sums: list[bytes]) -> int:
--- a/willownotch/controlplane/fetching.py
+++ b/willownotch/controlplane/fetching.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from willownotch.controlplane.rate import NEAR
-from willownotch.controlplane.wire import PIECES_ASKED, Fetch, Kind, Part, Piece
+from willownotch.controlplane.token_bucket import ROUNDING_SLACK
+from willownotch.controlplane.wire import MAX_PIECES_PER_FETCH, Fetch, Part, PartKind, Piece
 
 WINDOW = 32  # pieces that are asked for and not there yet
 BATCH = 8  # pieces that there is room for, before more are asked for
@@ -81,11 +81,11 @@
                 wanted.next = min(wanted.next, piece)
             room -= len(wanted.asked)
         found = []
-        room = min(room, int(self._left / WHOLE_PIECE + NEAR))
+        room = min(room, int(self._left / WHOLE_PIECE + ROUNDING_SLACK))
         if room < BATCH:
             return []
         for number, wanted in self.wanted.items():
-            while chosen := self._choose(wanted, min(room, PIECES_ASKED)):
+            while chosen := self._choose(wanted, min(room, MAX_PIECES_PER_FETCH)):
                 wanted.asked |= dict.fromkeys(chosen, now)
                 room -= len(chosen)
                 self._left -= len(chosen) * WHOLE_PIECE
@@ -97,7 +97,7 @@
     @staticmethod
     def _choose(wanted: Wanted, most: int) -> list[int]:
         """Pieces that are neither there nor on their way; of a part of unknown size, the first."""
-        first = 1 if wanted.part.kind is Kind.GROUPS else 4
+        first = 1 if wanted.part.kind is PartKind.GROUPS else 4
         pieces = first if wanted.pieces is None else wanted.pieces
         if most <= 0:
             return []
--- a/willownotch/controlplane/follower.py
+++ b/willownotch/controlplane/follower.py
@@ -38,19 +38,19 @@
 from willownotch.controlplane.held import Held, InForce, encode, records_of
 from willownotch.controlplane.settings import FollowSettings
 from willownotch.controlplane.wire import (
-    PIECE,
-    TEXT_MOST,
-    How,
-    Kind,
+    MAX_TEXT_CHARS,
+    PIECE_BYTES,
     Leave,
     Message,
-    News,
     Part,
+    PartKind,
     Piece,
     Poll,
+    PollReply,
     Push,
+    RefusalReason,
     Refused,
-    Why,
+    UpdateMethod,
     read_delta,
 )
 from willownotch.peers.core import Send
@@ -168,7 +168,7 @@
         self._buckets: Buckets = {}  # that were fetched for one
         self._distrust = False  # of differences: the tree is asked for
         self._part = 1 << 32  # number of the last part that was asked for
-        self._waits: Why | None = None  # why the member does not send
+        self._waits: RefusalReason | None = None  # why the member does not send
         self._promised_at: float | None = None  # since when it tells a newer revision, and nothing came
         self._closed_until = now  # the member followed said so
         self.configure(settings, now)
@@ -200,7 +200,7 @@
     def refused(self, now: float, revision: int, text: str) -> None:
         """An offered revision could not be applied; the one before stays in force."""
         self.counters["refused here"] += 1
-        self._refusal = revision, text[:TEXT_MOST]
+        self._refusal = revision, text[:MAX_TEXT_CHARS]
         self._soon(now)
 
     def stop(self, now: float) -> list[Send]:
@@ -264,7 +264,7 @@
     def receive(self, now: float, address: Address, message: Message) -> list[Send]:
         """A datagram of a member, found authentic."""
         source = message.source
-        if isinstance(message, News) and self._look is not None and message.number == self._look.number:
+        if isinstance(message, PollReply) and self._look is not None and message.number == self._look.number:
             return self._looked(now, message) if source == self._look.member else []
         if (
             isinstance(message, Refused)
@@ -277,7 +277,7 @@
         if source != self.member:
             self.counters["not followed"] += 1
             return []
-        if isinstance(message, News):
+        if isinstance(message, PollReply):
             return self._news(now, message)
         if isinstance(message, Push):
             return self._pushed(now, message)
@@ -377,13 +377,13 @@
 
     def _turned_away(self, now: float, refused: Refused) -> list[Send]:
         after = refused.after_ms / 1000
-        if refused.why is Why.BUSY or refused.why is Why.COPIES:
+        if refused.reason is RefusalReason.BUSY or refused.reason is RefusalReason.COPIES:
             if self._fetching is not None:
                 self.counters["told to wait"] += 1
-                self._waits = refused.why
+                self._waits = refused.reason
                 self._fetching.busy(now, after)
             return []
-        if refused.why is Why.GONE:
+        if refused.reason is RefusalReason.GONE:
             if self._fetching is not None and refused.number in self._fetching.wanted:
                 self._drop()
                 self._soon(now)
@@ -391,7 +391,7 @@
         if not self._answer(now, refused.number):
             return []
         self.counters["turned away"] += 1
-        if refused.why is Why.RATE and after <= WAIT_S:
+        if refused.reason is RefusalReason.RATE and after <= WAIT_S:
             self._closed_until = now + after
             self._poll_at = self._closed_until + self.random.uniform(0.0, SOON_S)
             return []
@@ -428,9 +428,9 @@
         self._look = Look(free[0], self._number, now + self.patience)
         return [send]
 
-    def _looked(self, now: float, news: News) -> list[Send]:
+    def _looked(self, now: float, news: PollReply) -> list[Send]:
         self._look = None
-        apart = news.apart_ms / 1000
+        apart = news.isolated_ms / 1000
         self._standing_of(news.source).silent = 0
         if (news.token, news.revision) < (self.held.document.token, self.held.document.revision) or (
             apart >= APART_S and apart >= self._apart
@@ -444,11 +444,11 @@
 
     # Revisions
 
-    def _news(self, now: float, news: News) -> list[Send]:
+    def _news(self, now: float, news: PollReply) -> list[Send]:
         if not self._answer(now, news.number):
             return []
         document = self.held.document
-        self._new, self._apart = False, news.apart_ms / 1000
+        self._new, self._apart = False, news.isolated_ms / 1000
         if self._apart >= APART_S:
             self._look_at = min(self._look_at, now + self._home())
         standing = self._standing_of(news.source)
@@ -473,12 +473,12 @@
         elif now - self._promised_at >= PROMISED_S:
             self.counters["undelivered"] += 1
             return self._wrong_member(now)
-        if news.how is How.INLINE and not self._distrust:
+        if news.method is UpdateMethod.INLINE and not self._distrust:
             return self._delta(now, news.delta)
-        if news.how is How.DELTA and not self._distrust:
-            part = Part(Kind.DELTA, news.revision, document.revision)
-            return self._start(now, part, -(-news.size // PIECE))
-        return [] if news.how is How.NOTHING else self._start(now, FIRST, 1)
+        if news.method is UpdateMethod.DELTA and not self._distrust:
+            part = Part(PartKind.DELTA, news.revision, document.revision)
+            return self._start(now, part, -(-news.size // PIECE_BYTES))
+        return [] if news.method is UpdateMethod.NOTHING else self._start(now, FIRST, 1)
 
     def _pushed(self, now: float, push: Push) -> list[Send]:
         if push.revision <= self.held.document.revision or self._new:
@@ -540,11 +540,13 @@
     # Parts
 
     def _start(self, now: float, part: Part, pieces: int) -> list[Send]:
-        whole = part.kind is not Kind.DELTA or part.node == 0
+        whole = part.kind is not PartKind.DELTA or part.node == 0
         rate = self.settings.rate if whole else self.settings.budget
         self._fetching = Fetching(self.name, self.member, rate, self.patience, now, self._part)
         self._fetching.want(part, pieces)
-        self._comparison = None if part.kind is Kind.DELTA else Comparison(self.held.document, self._buckets)
+        self._comparison = (
+            None if part.kind is PartKind.DELTA else Comparison(self.held.document, self._buckets)
+        )
         self._waits = None
         return self._fetch_on(now)
 
@@ -554,7 +556,7 @@
         self._fetching = self._comparison = None
 
     def _stuck_at(self) -> float:
-        since, most = self._fetching.progress_at, COPIES_S if self._waits is Why.COPIES else BUSY_S
+        since, most = self._fetching.progress_at, COPIES_S if self._waits is RefusalReason.COPIES else BUSY_S
         return min(max(since, self._fetching.wait_until) + STUCK_S, since + most)
 
     def _fetch_on(self, now: float) -> list[Send]:
@@ -572,7 +574,7 @@
         if whole is None:
             return self._fetch_on(now)
         part, data = whole
-        if part.kind is Kind.DELTA:
+        if part.kind is PartKind.DELTA:
             self._drop()
             return self._delta(now, data)
         try:
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -29,7 +29,7 @@
 from willownotch.controlplane.commit import AgreementCore, AgreementTiming, Result, Stage
 from willownotch.controlplane.commit import Send as ToMember
 from willownotch.controlplane.document import Change, Document, DocumentError
-from willownotch.controlplane.serving import Serving
+from willownotch.controlplane.serving import FollowerService
 from willownotch.controlplane.settings import MemberSettings
 from willownotch.controlplane.store import START_OVER_HINT, Store, StoreError
 from willownotch.files.layer import REAL, Files
@@ -71,7 +71,7 @@
 
     source: str
     voters: bytes
-    message: agreement.Message | wire.Counts
+    message: agreement.Message | wire.FollowerCounts
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -161,10 +161,10 @@
             )
         except DocumentError as fault:
             raise StoreError(f"{folder}: its records make no document ({fault}); {START_OVER_HINT}") from None
-        self.serving = Serving(self.name, self.document, settings, now, Random(secrets.randbits(64)))
+        self.serving = FollowerService(self.name, self.document, settings, now, Random(secrets.randbits(64)))
         self._live = self.store.size
         self.sock = bind_followers(settings.followers)
-        self.seal = Seal(uid, keys, wire.decode, wire.VERSION, wire.DATAGRAM)
+        self.seal = Seal(uid, keys, wire.decode, wire.VERSION, wire.MAX_DATAGRAM_BYTES)
         self._open_peers(uid, keys, folder, files, now)
         self.channel = (
             None
@@ -378,7 +378,7 @@
                 self.say("voters", f"{said.source} has other 'voters' than this member: not listened to")
                 return
             self._heard[said.source] = now
-            if isinstance(said.message, wire.Counts):
+            if isinstance(said.message, wire.FollowerCounts):
                 self.serving.heard(now, said.source, said.message)
             else:
                 self._send(self.commits.receive(now, said.source, said.message))
@@ -393,14 +393,14 @@
     def _receive(self) -> None:
         while True:
             try:
-                found = [self.sock.recvfrom(2 * wire.DATAGRAM)]
+                found = [self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES)]
             except OSError:  # an earlier datagram found nobody
                 self.traffic["follower receive failed"] += 1
                 continue
             self.sock.setblocking(False)
             try:
                 while len(found) < RECEIVED_MOST:
-                    found.append(self.sock.recvfrom(2 * wire.DATAGRAM))
+                    found.append(self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES))
             except OSError:
                 pass
             self.sock.setblocking(True)
@@ -462,7 +462,7 @@
                 if apart
                 else f"a majority of the voters is heard again, revision {self.document.revision}",
             )
-        self.serving.apart_since = since if apart else None
+        self.serving.isolated_since = since if apart else None
 
     def _look_refused(self) -> None:
         found: Counter[str] = Counter()
@@ -479,7 +479,7 @@
             self.say("refused", ", ".join(f"{count} {what}" for what, count in sorted(grown.items())))
         self._refused = found
 
-    def _look_nacks(self, counts: wire.Counts) -> None:
+    def _look_nacks(self, counts: wire.FollowerCounts) -> None:
         for nack in counts.nacks:
             if self._nacks.get(nack.name) != nack.revision:
                 self.say("nack", f"{nack.name} could not apply revision {nack.revision}: {nack.text}")
@@ -504,7 +504,7 @@
         """For who asks."""
         with self.lock:
             now = time.monotonic()
-            since = self.serving.apart_since
+            since = self.serving.isolated_since
             heard = {
                 name: round(now - self._heard[name], 3) if name in self._heard else None
                 for name in self.blocks.member.voters
--- a/willownotch/controlplane/asking.py
+++ b/willownotch/controlplane/operator_client.py
@@ -15,12 +15,12 @@
 from willownotch.controlplane.entries import encode
 
 PATIENCE = 30.0  # s for an outcome; a member gives one within 20
-DONE, REFUSED, UNKNOWN = 0, 1, 3  # exit codes
-CODES = {"committed": DONE, "lost": REFUSED, "refused": REFUSED}
+EXIT_DONE, EXIT_REFUSED, EXIT_UNKNOWN = 0, 1, 3  # exit codes
+EXIT_CODES = {"committed": EXIT_DONE, "lost": EXIT_REFUSED, "refused": EXIT_REFUSED}
 
 
 @dataclass(frozen=True)
-class Wanted:
+class ProposedChange:
     """A change as of a revision."""
 
     base: int
@@ -40,33 +40,35 @@
         return str(os.getuid())
 
 
-def entries(path: str, revision: int | None = None, key: str | None = None) -> dict[str, Any]:
+def fetch_entries(path: str, revision: int | None = None, key: str | None = None) -> dict[str, Any]:
     """A revision's entries, the last one's without a number, or one of them; `AskError`."""
     about = {} if revision is None else {"revision": str(revision)}
     return ask(path, "entries", about if key is None else about | {"key": key}, PATIENCE)
 
 
-def kept(found: Mapping[str, Any]) -> dict[str, bytes]:
+def encoded_entries(found: Mapping[str, Any]) -> dict[str, bytes]:
     """Entries of an answer as members keep them."""
     return {key: encode(value) for key, value in found["entries"].items()}
 
 
-def toward(found: Mapping[str, Any], wanted: Mapping[str, bytes], merge: bool = False) -> Wanted:
+def changes_toward(
+    found: Mapping[str, Any], wanted: Mapping[str, bytes], merge: bool = False
+) -> ProposedChange:
     """What makes the entries of an answer those that are wanted; with `merge` others stay."""
-    now = kept(found)
-    return Wanted(
+    now = encoded_entries(found)
+    return ProposedChange(
         found["revision"],
         {key: value for key, value in wanted.items() if now.get(key) != value},
         () if merge else tuple(sorted(now.keys() - wanted.keys())),
     )
 
 
-def new_id() -> str:
+def new_change_id() -> str:
     """Of a change."""
     return secrets.token_hex(16)
 
 
-def submit(path: str, change_id: str, wanted: Wanted) -> dict[str, Any]:
+def submit(path: str, change_id: str, wanted: ProposedChange) -> dict[str, Any]:
     """Ask for a change; what was told of it. `AnswerError` where it was not taken for one, nothing was done
     then; any other trouble is the outcome `unknown`."""
     text = msgspec.json.encode(
@@ -86,7 +88,7 @@
         return {"id": change_id, "outcome": "unknown", "revision": 0, "text": str(fault)}
 
 
-def outcome(told: Mapping[str, Any], wanted: Wanted) -> str:
+def outcome(told: Mapping[str, Any], wanted: ProposedChange) -> str:
     """In words."""
     if told["outcome"] == "committed":
         return (
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -207,7 +207,7 @@
     def _receive(self, wait: float) -> tuple[bytes, Address] | None:
         self.sock.settimeout(wait)
         try:
-            return self.sock.recvfrom(2 * wire.DATAGRAM)
+            return self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES)
         except (BlockingIOError, TimeoutError):
             return None
         except OSError:  # an earlier datagram found nobody
--- a/willownotch/controlplane/serving.py
+++ b/willownotch/controlplane/serving.py
@@ -20,28 +20,28 @@
 import msgspec
 
 from willownotch.controlplane.document import GROUPS, Commit, Delta, Document
-from willownotch.controlplane.rate import NEAR, Rate
 from willownotch.controlplane.settings import MemberSettings
+from willownotch.controlplane.token_bucket import ROUNDING_SLACK, TokenBucket
 from willownotch.controlplane.wire import (
-    DATAGRAM,
-    INLINE,
-    PIECE,
-    Counts,
+    MAX_DATAGRAM_BYTES,
+    MAX_INLINE_BYTES,
+    PIECE_BYTES,
     Fetch,
-    How,
-    Kind,
+    FollowerCounts,
     Laggard,
     Leave,
     Message,
     Nack,
-    News,
     Part,
+    PartKind,
     Piece,
     Poll,
+    PollReply,
     Push,
+    RefusalReason,
     Refused,
-    Tree,
-    Why,
+    SnapshotDigests,
+    UpdateMethod,
     encode,
 )
 from willownotch.peers.core import Send
@@ -62,8 +62,8 @@
 QUEUE_EACH = 32  # pieces of one follower
 PUSH_AGAIN_S, PUSHES = 1.0, 3  # until what was not acknowledged is pushed again; pushes in all
 OVERHEAD = 120  # bytes of a datagram beside what it carries, near enough for the rate
-REMEMBERED = 3  # times `most-followers`: as many are remembered, those heard longest ago go first
-LISTED, ARRIVED, ARRIVED_S = 32, 1000, 5.0  # names in counts; who came lately, for how long
+REMEMBERED_FACTOR = 3  # times `most-followers`: as many are remembered, those heard longest ago go first
+LISTED, ARRIVED, RECENT_ARRIVAL_S = 32, 1000, 5.0  # names in counts; who came lately, for how long
 MEMBER_SILENT_S = 10.0  # counts of another member that are older say nothing
 
 
@@ -75,7 +75,7 @@
     uid: int
     came_at: float
     heard_at: float
-    asks: Rate
+    asks: TokenBucket
     period: float = 3.0
     number: int = -1
     revision: int = 0
@@ -132,7 +132,7 @@
     counters: dict[str, int]
 
 
-class Serving:
+class FollowerService:
     """One member's followers. The edge moves `document` on by commits and then tells `committed`, and sets
     `apart_since` while the member hears no majority."""
 
@@ -140,12 +140,12 @@
         self, name: str, document: Document, settings: MemberSettings, now: float, random: Random
     ) -> None:
         self.name, self.document, self.settings, self.random = name, document, settings, random
-        self.apart_since: float | None = None
+        self.isolated_since: float | None = None
         self.counters: Counter[str] = Counter()
         self.followers: dict[str, Followed] = {}
-        self.members: dict[str, tuple[float, Counts]] = {}
-        self._bytes = Rate(settings.rate, max(settings.rate / 4, DATAGRAM), now)
-        self._builds = Rate(BUILDS, BUILDS_AT_ONCE, now)
+        self.members: dict[str, tuple[float, FollowerCounts]] = {}
+        self._bytes = TokenBucket(settings.rate, max(settings.rate / 4, MAX_DATAGRAM_BYTES), now)
+        self._builds = TokenBucket(BUILDS, BUILDS_AT_ONCE, now)
         self._slots: OrderedDict[str, float] = OrderedDict()  # who was refused, and when it is to come
         self._slot_at = now - 1.0
         self._pushes: dict[str, int] = {}  # who is to be told of the last revision, and how often at most
@@ -160,7 +160,7 @@
     def configure(self, settings: MemberSettings, now: float) -> None:
         """Other bounds."""
         self.settings = settings
-        self._bytes = Rate(settings.rate, max(settings.rate / 4, DATAGRAM), now)
+        self._bytes = TokenBucket(settings.rate, max(settings.rate / 4, MAX_DATAGRAM_BYTES), now)
 
     def receive(self, now: float, address: Address, message: Message) -> list[Send]:
         """A datagram of a follower, found authentic."""
@@ -200,45 +200,45 @@
         if self._again:
             due = min(due, self._again[0][0])
         if self._pushes or self._pieces:
-            size = self._push_size() if self._pushes else PIECE + OVERHEAD
-            due = min(due, self._bytes.when(self._bytes.at, size))
+            size = self._push_size() if self._pushes else PIECE_BYTES + OVERHEAD
+            due = min(due, self._bytes.ready_at(self._bytes.at, size))
         return due
 
     # Followers
 
-    def _admits(self, now: float, name: str) -> tuple[Why, float] | None:
+    def _admits(self, now: float, name: str) -> tuple[RefusalReason, float] | None:
         """None: come in. Else why not, and s after which to come back."""
         heard = sum(now - other.heard_at <= other.silent() for other in self.followers.values())
         if heard >= self.settings.most_followers:
-            return Why.FULL, FULL_S * self.random.uniform(0.5, 1.5)
+            return RefusalReason.FULL, FULL_S * self.random.uniform(0.5, 1.5)
         pause = 1.0 / self.settings.admissions
         slot = self._slots.get(name)
         if slot is None or now > slot + SLOT_LATE_S:
             self._slots.pop(name, None)
             slot = max(self._slot_at, now - 1.0) + pause  # a second's worth may come at once
             if slot - now > SLOT_MOST_S:
-                return Why.FULL, FULL_S * self.random.uniform(0.5, 1.5)
+                return RefusalReason.FULL, FULL_S * self.random.uniform(0.5, 1.5)
             self._slot_at = slot
-        if slot > now + NEAR:
+        if slot > now + ROUNDING_SLACK:
             self._slots[name] = slot
-            return Why.RATE, slot - now
+            return RefusalReason.RATE, slot - now
         self._slots.pop(name, None)
         return None
 
     def _probed(self, now: float, address: Address, poll: Poll) -> list[Send]:
         heard = sum(now - other.heard_at <= other.silent() for other in self.followers.values())
-        if heard >= self.settings.most_followers or self._slot_at > now + NEAR:
-            return [self._refuse(now, address, poll.number, Why.FULL, FULL_S)]
+        if heard >= self.settings.most_followers or self._slot_at > now + ROUNDING_SLACK:
+            return [self._refuse(now, address, poll.number, RefusalReason.FULL, FULL_S)]
         return [
             Send(
                 address,
-                News(
+                PollReply(
                     self.name,
                     poll.number,
                     self.document.revision,
                     self.document.token,
                     self.document.digest,
-                    apart_ms=self._apart(now),
+                    isolated_ms=self._apart(now),
                 ),
             )
         ]
@@ -249,11 +249,11 @@
             if refusal := self._admits(now, poll.source):
                 return [self._refuse(now, address, poll.number, *refusal)]
             if follower is None:
-                follower = Followed(address, poll.uid, now, now, Rate(ASKS, ASKS_AT_ONCE, now))
+                follower = Followed(address, poll.uid, now, now, TokenBucket(ASKS, ASKS_AT_ONCE, now))
                 self.followers[poll.source] = follower
             follower.came_at = now
             self.counters["admitted"] += 1
-        if not follower.asks.spend(now):
+        if not follower.asks.try_spend(now):
             self.counters["too often"] += 1
             return []
         if follower.uid != poll.uid:
@@ -263,7 +263,7 @@
         if poll.number > follower.number:  # else it was overtaken
             self._told(now, poll.source, follower, address, poll)
         news = self._news(now, poll.number, poll.revision)
-        self._bytes.force(now, OVERHEAD + len(news.delta))
+        self._bytes.spend_into_debt(now, OVERHEAD + len(news.delta))
         self._pushes.pop(poll.source, None)
         return [Send(address, news)]
 
@@ -281,35 +281,40 @@
         if copying is not None and poll.revision >= copying.snapshot.revision:
             del self._copies[name]
 
-    def _news(self, now: float, number: int, since: int) -> News:
+    def _news(self, now: float, number: int, since: int) -> PollReply:
         document = self.document
-        news = News(
-            self.name, number, document.revision, document.token, document.digest, apart_ms=self._apart(now)
+        news = PollReply(
+            self.name,
+            number,
+            document.revision,
+            document.token,
+            document.digest,
+            isolated_ms=self._apart(now),
         )
         if since >= document.revision:
             return news
         how, data = self._way(now, since)
         return msgspec.structs.replace(
-            news, how=how, size=len(data), delta=data if how is How.INLINE else b""
+            news, method=how, size=len(data), delta=data if how is UpdateMethod.INLINE else b""
         )
 
-    def _way(self, now: float, since: int) -> tuple[How, bytes]:
+    def _way(self, now: float, since: int) -> tuple[UpdateMethod, bytes]:
         """How a follower gets to the last revision, and the difference."""
         if since < self.document.oldest() and (since > 0 or self.document.size > WHOLE_FROM):
-            return How.TREE, b""
+            return UpdateMethod.TREE, b""
         data = self._delta(now, since)
         if data is None:
-            return How.NOTHING, b""
+            return UpdateMethod.NOTHING, b""
         if len(data) > WHOLE_FROM:
-            return How.TREE, b""
-        return (How.INLINE if len(data) <= INLINE else How.DELTA), data
+            return UpdateMethod.TREE, b""
+        return (UpdateMethod.INLINE if len(data) <= MAX_INLINE_BYTES else UpdateMethod.DELTA), data
 
     def _delta(self, now: float, since: int) -> bytes | None:
         """The difference to the last revision, from nothing all of it; None: too many were made lately."""
         document = self.document
-        part = Part(Kind.DELTA, document.revision, since)
+        part = Part(PartKind.DELTA, document.revision, since)
         if part not in self._parts:
-            if not self._builds.spend(now):
+            if not self._builds.try_spend(now):
                 self.counters["difference put off"] += 1
                 return None
             self._keep(
@@ -329,13 +334,13 @@
         while len(self._parts) > PARTS_MOST:
             self._parts.popitem(last=False)
 
-    def _refuse(self, now: float, address: Address, number: int, why: Why, after: float) -> Send:
+    def _refuse(self, now: float, address: Address, number: int, why: RefusalReason, after: float) -> Send:
         self.counters[f"refused: {why.name.lower()}"] += 1
-        self._bytes.force(now, OVERHEAD)
+        self._bytes.spend_into_debt(now, OVERHEAD)
         return Send(address, Refused(self.name, number, why, round(after * 1000)))
 
     def _apart(self, now: float) -> int:
-        return 0 if self.apart_since is None else max(1, round((now - self.apart_since) * 1000))
+        return 0 if self.isolated_since is None else max(1, round((now - self.isolated_since) * 1000))
 
     def _forget(self, name: str) -> None:
         self.followers.pop(name, None)
@@ -348,37 +353,40 @@
     def _fetch(self, now: float, address: Address, fetch: Fetch) -> list[Send]:
         name, part = fetch.source, fetch.part
         follower = self.followers.get(name)
-        if follower is None or not follower.asks.spend(now):
+        if follower is None or not follower.asks.try_spend(now):
             self.counters["too often" if follower else "stranger"] += 1
             return []
         follower.heard_at = now
-        if part.kind is not Kind.DELTA:
+        if part.kind is not PartKind.DELTA:
             if refusal := self._copy(now, name, part):
                 return [self._refuse(now, address, fetch.number, *refusal)]
         elif part not in self._parts:
-            return [self._refuse(now, address, fetch.number, Why.GONE, 0.0)]
+            return [self._refuse(now, address, fetch.number, RefusalReason.GONE, 0.0)]
         data = self._part(name, part)
         if data is None:
-            return [self._refuse(now, address, fetch.number, Why.GONE, 0.0)]
-        pieces = max(1, -(-len(data) // PIECE))
-        most = max(QUEUE_LEAST, int(QUEUE_S * self.settings.rate / (PIECE + OVERHEAD)))
+            return [self._refuse(now, address, fetch.number, RefusalReason.GONE, 0.0)]
+        pieces = max(1, -(-len(data) // PIECE_BYTES))
+        most = max(QUEUE_LEAST, int(QUEUE_S * self.settings.rate / (PIECE_BYTES + OVERHEAD)))
         for piece in fetch.pieces:
             key = name, fetch.number, piece
             if not 0 <= piece < pieces or key in self._queued:
                 continue
             if len(self._pieces) >= most or follower.waiting >= QUEUE_EACH:
-                return [*self._send_on(now), self._refuse(now, address, fetch.number, Why.BUSY, QUEUE_S / 2)]
+                return [
+                    *self._send_on(now),
+                    self._refuse(now, address, fetch.number, RefusalReason.BUSY, QUEUE_S / 2),
+                ]
             self._pieces.append((name, address, fetch.number, part, piece))
             self._queued.add(key)
             follower.waiting += 1
         return self._send_on(now)
 
-    def _copy(self, now: float, name: str, part: Part) -> tuple[Why, float] | None:
+    def _copy(self, now: float, name: str, part: Part) -> tuple[RefusalReason, float] | None:
         """Whether a whole copy may begin or go on; why not, and s after which to ask again."""
         copying = self._copies.get(name)
         if copying is None:
-            if part.kind is not Kind.GROUPS:
-                return Why.GONE, 0.0
+            if part.kind is not PartKind.GROUPS:
+                return RefusalReason.GONE, 0.0
             self._line[name] = now  # keeps its place, if it had one
             ahead = 0
             for other in self._line:
@@ -387,14 +395,14 @@
                 ahead += 1
             if ahead >= self.settings.copies - len(self._copies):
                 span = COPY_NEXT_S if ahead < 2 * self.settings.copies else COPY_AGAIN_S
-                return Why.COPIES, span * self.random.uniform(0.8, 1.2)
+                return RefusalReason.COPIES, span * self.random.uniform(0.8, 1.2)
             del self._line[name]
             self._copies[name] = copying = Copying(self._snapshot(self.followers[name].revision), now)
             self.counters["copies"] += 1
         copying.at = now
-        if part.kind is Kind.GROUPS:
+        if part.kind is PartKind.GROUPS:
             return None
-        return None if part.revision == copying.snapshot.revision else (Why.GONE, 0.0)
+        return None if part.revision == copying.snapshot.revision else (RefusalReason.GONE, 0.0)
 
     def _snapshot(self, held: int) -> Document:
         """One that is in use, near enough and beyond what is held, or a new one."""
@@ -405,11 +413,11 @@
         return self.document.copy()
 
     def _part(self, name: str, part: Part) -> bytes | None:
-        if part.kind is Kind.DELTA:
+        if part.kind is PartKind.DELTA:
             return self._parts.get(part)
         snapshot = self._copies[name].snapshot
-        if part.kind is Kind.GROUPS:
-            part = Part(Kind.GROUPS, snapshot.revision)
+        if part.kind is PartKind.GROUPS:
+            part = Part(PartKind.GROUPS, snapshot.revision)
         elif not 0 <= part.node < GROUPS or not 0 <= part.mask < 1 << GROUPS:
             return None
         if part not in self._parts:
@@ -419,11 +427,13 @@
 
     @staticmethod
     def _encoded(snapshot: Document, part: Part) -> bytes:
-        if part.kind is Kind.GROUPS:
+        if part.kind is PartKind.GROUPS:
             return encode(
-                Tree(snapshot.revision, snapshot.token, snapshot.digest, b"".join(snapshot.groups()))
+                SnapshotDigests(
+                    snapshot.revision, snapshot.token, snapshot.digest, b"".join(snapshot.groups())
+                )
             )
-        if part.kind is Kind.BUCKETS:
+        if part.kind is PartKind.BUCKETS:
             return b"".join(
                 digest for at in range(GROUPS) if part.mask >> at & 1 for digest in snapshot.buckets(at)
             )
@@ -436,7 +446,7 @@
     # What goes out as the rate allows
 
     def _push_size(self) -> int:
-        return OVERHEAD + INLINE // 2
+        return OVERHEAD + MAX_INLINE_BYTES // 2
 
     def _send_on(self, now: float) -> list[Send]:
         sends: list[Send] = []
@@ -444,7 +454,7 @@
             _, name, revision, left = self._again.popleft()
             if (follower := self.followers.get(name)) is not None and follower.revision < revision:
                 self._pushes.setdefault(name, left)
-        while self._pushes and self._bytes.left(now) >= self._push_size() - NEAR:
+        while self._pushes and self._bytes.available(now) >= self._push_size() - ROUNDING_SLACK:
             name = next(iter(self._pushes))
             left = self._pushes.pop(name) - 1
             follower = self.followers.get(name)
@@ -452,27 +462,36 @@
                 continue
             how, data = self._way(now, follower.revision)
             push = Push(
-                self.name, self.document.revision, self.document.token, data if how is How.INLINE else b""
+                self.name,
+                self.document.revision,
+                self.document.token,
+                data if how is UpdateMethod.INLINE else b"",
             )
-            self._bytes.force(now, OVERHEAD + len(push.delta))
+            self._bytes.spend_into_debt(now, OVERHEAD + len(push.delta))
             self.counters["pushes"] += 1
             sends.append(Send(follower.address, push))
             if left:
                 self._again.append((now + PUSH_AGAIN_S, name, push.revision, left))
-        while self._pieces and not self._pushes and self._bytes.spend(now, PIECE + OVERHEAD):
+        while self._pieces and not self._pushes and self._bytes.try_spend(now, PIECE_BYTES + OVERHEAD):
             name, address, number, part, piece = self._pieces.popleft()
             self._queued.discard((name, number, piece))
             if (follower := self.followers.get(name)) is not None:
                 follower.waiting = max(0, follower.waiting - 1)
-            data = self._part(name, part) if part.kind is Kind.DELTA or name in self._copies else None
+            data = self._part(name, part) if part.kind is PartKind.DELTA or name in self._copies else None
             if follower is None or data is None:
                 continue
-            pieces = max(1, -(-len(data) // PIECE))
+            pieces = max(1, -(-len(data) // PIECE_BYTES))
             self.counters["pieces"] += 1
             sends.append(
                 Send(
                     address,
-                    Piece(self.name, number, piece, pieces, data[piece * PIECE : (piece + 1) * PIECE]),
+                    Piece(
+                        self.name,
+                        number,
+                        piece,
+                        pieces,
+                        data[piece * PIECE_BYTES : (piece + 1) * PIECE_BYTES],
+                    ),
                 )
             )
         return sends
@@ -483,7 +502,7 @@
         remember = self.settings.remember.total_seconds()
         for name in [n for n, f in self.followers.items() if now - f.heard_at > max(remember, f.silent())]:
             self._forget(name)
-        surplus = len(self.followers) - REMEMBERED * self.settings.most_followers
+        surplus = len(self.followers) - REMEMBERED_FACTOR * self.settings.most_followers
         if surplus > 0:
             for name in sorted(self.followers, key=lambda n: self.followers[n].heard_at)[:surplus]:
                 self._forget(name)
@@ -496,7 +515,7 @@
 
     # Counts
 
-    def counts(self, now: float) -> Counts:
+    def counts(self, now: float) -> FollowerCounts:
         """What this member knows of its followers."""
         force: Counter[int] = Counter()
         lagging, nacks, unheard = [], [], []
@@ -514,9 +533,9 @@
         arrived = [
             (name, round((now - f.came_at) * 1000))
             for name, f in self.followers.items()
-            if now - f.came_at <= ARRIVED_S
+            if now - f.came_at <= RECENT_ARRIVAL_S
         ]
-        return Counts(
+        return FollowerCounts(
             self.name,
             self.document.revision,
             self.document.token,
@@ -533,7 +552,7 @@
             tuple(arrived[:ARRIVED]),
         )
 
-    def heard(self, now: float, source: str, counts: Counts) -> None:
+    def heard(self, now: float, source: str, counts: FollowerCounts) -> None:
         """Another member's counts. A follower that came to it after it was last heard here is its own now."""
         self.members[source] = now, counts
         for name, ago in counts.arrived:
@@ -572,7 +591,7 @@
                     c.revision,
                     c.followers,
                     c.unheard,
-                    c.apart_ms / 1000,
+                    c.isolated_ms / 1000,
                     0.0 if name == self.name else round(now - self.members[name][0], 3),
                 )
                 for name, c in sorted(known.items())
@@ -586,7 +605,7 @@
     return tuple(sorted(laggards, key=lambda one: -one.for_ms)[:LISTED])
 
 
-def _named(known: dict[str, Counts], of) -> list[tuple[str, str, int, float]]:
+def _named(known: dict[str, FollowerCounts], of) -> list[tuple[str, str, int, float]]:
     return [
         (member, one.name, one.in_force, one.for_ms / 1000)
         for member, counts in sorted(known.items())
--- a/willownotch/controlplane/simulated.py
+++ b/willownotch/controlplane/simulated.py
@@ -20,7 +20,7 @@
 from willownotch.controlplane.document import Change, Commit, Document
 from willownotch.controlplane.follower import Follower
 from willownotch.controlplane.held import Held
-from willownotch.controlplane.serving import Serving
+from willownotch.controlplane.serving import FollowerService
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
 from willownotch.peers.core import Send
 
@@ -47,7 +47,7 @@
 
     name: str
     zone: str
-    core: Serving | Follower | None = None
+    core: FollowerService | Follower | None = None
     document: Document | None = None  # a member's
     records: list[bytes] = field(default_factory=list)  # of a follower's folder
     tick_at: float = float("inf")
@@ -122,7 +122,9 @@
         """A member's process begins, on its folder."""
         node = self.nodes[name]
         node.life += 1
-        node.core = Serving(name, node.document, self.member, self.now, Random(self.random.getrandbits(64)))
+        node.core = FollowerService(
+            name, node.document, self.member, self.now, Random(self.random.getrandbits(64))
+        )
         self._at(self.now + self.random.uniform(0.0, COUNTS_S), "counts", name, node.life)
         self._schedule(node)
 
@@ -189,10 +191,10 @@
     def _catch_up(self, node: Node) -> None:
         serving = node.core
         if self.apart(node):
-            if serving.apart_since is None:
-                serving.apart_since = self.now
+            if serving.isolated_since is None:
+                serving.isolated_since = self.now
             return
-        serving.apart_since = None
+        serving.isolated_since = None
         behind = self.truth.commits(node.document.revision) or []
         for commit in behind:
             node.document.commit(commit)
@@ -240,7 +242,7 @@
             lie = self.lies.get(node.name)
             for send in [wanted] if lie is None else lie(wanted):
                 data = self._cost(node, wire.encode, send.message)
-                if len(data) + 32 > wire.DATAGRAM:
+                if len(data) + 32 > wire.MAX_DATAGRAM_BYTES:
                     raise AssertionError(f"a message of {len(data)} bytes does not fit a datagram")
                 node.sent += len(data) + FRAME
                 target = send.address[0]
--- a/willownotch/controlplane/wire.py
+++ b/willownotch/controlplane/wire.py
@@ -27,14 +27,14 @@
 from willownotch.controlplane.document import Delta
 
 VERSION = 33  # of the frames: `peers.seal.Seal`
-DATAGRAM = 1400  # bytes, with the seal
-PIECE = 1100  # bytes of a part in one datagram
-INLINE = 1150  # bytes of a difference that travels within News or Push
-PIECES_ASKED = 16  # in one Fetch
-NAME_MOST, TEXT_MOST = 100, 200  # bytes of a follower's or member's name; characters of a refusal
+MAX_DATAGRAM_BYTES = 1400  # bytes, with the seal
+PIECE_BYTES = 1100  # bytes of a part in one datagram
+MAX_INLINE_BYTES = 1150  # bytes of a difference that travels within News or Push
+MAX_PIECES_PER_FETCH = 16  # in one Fetch
+MAX_NAME_BYTES, MAX_TEXT_CHARS = 100, 200  # bytes of a follower's or member's name; characters of a refusal
 
 
-class How(IntEnum):
+class UpdateMethod(IntEnum):
     """How a follower gets from what it holds to what its member has."""
 
     NOTHING = 0  # it has it, or more; or the member cannot say now
@@ -43,7 +43,7 @@
     TREE = 3  # what differs is to be found by digests
 
 
-class Kind(IntEnum):
+class PartKind(IntEnum):
     """What can be fetched."""
 
     DELTA = 0  # revision: to; node: from
@@ -52,7 +52,7 @@
     ENTRIES = 3  # node: the group; mask: a bit for each of its buckets; their entries
 
 
-class Why(IntEnum):
+class RefusalReason(IntEnum):
     """Why a member refuses."""
 
     FULL = 0  # as many followers as it takes
@@ -65,7 +65,7 @@
 class Part(msgspec.Struct, frozen=True, array_like=True):
     """Something to be fetched: the fields are as `Kind` says."""
 
-    kind: Kind
+    kind: PartKind
     revision: int
     node: int = 0
     mask: int = 0
@@ -88,7 +88,7 @@
     probe: bool = False
 
 
-class News(msgspec.Struct, tag=81, frozen=True, array_like=True):
+class PollReply(msgspec.Struct, tag=81, frozen=True, array_like=True):
     """The answer: what I have, and how you get there. `size`: bytes of the difference. `apart_ms`: for how
     long I have not heard of a majority; what I have may be old."""
 
@@ -97,10 +97,10 @@
     revision: int
     token: int
     digest: bytes
-    how: How = How.NOTHING
+    method: UpdateMethod = UpdateMethod.NOTHING
     size: int = 0
     delta: bytes = b""
-    apart_ms: int = 0
+    isolated_ms: int = 0
 
 
 class Push(msgspec.Struct, tag=82, frozen=True, array_like=True):
@@ -117,7 +117,7 @@
 
     source: str
     number: int
-    why: Why
+    reason: RefusalReason
     after_ms: int
 
 
@@ -149,10 +149,10 @@
     member: str
 
 
-Message = Poll | News | Push | Refused | Fetch | Piece | Leave
+Message = Poll | PollReply | Push | Refused | Fetch | Piece | Leave
 
 
-class Tree(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotDigests(msgspec.Struct, frozen=True, array_like=True):
     """A snapshot: its revision, and the digests of its groups, one behind the other."""
 
     revision: int
@@ -178,7 +178,7 @@
     text: str
 
 
-class Counts(msgspec.Struct, tag=90, frozen=True, array_like=True):
+class FollowerCounts(msgspec.Struct, tag=90, frozen=True, array_like=True):
     """What a member knows of its followers; lists are bounded, the counts are whole.
 
     `in_force`: how many followers have each revision in force, latest first; older ones than are listed are
@@ -188,7 +188,7 @@
     source: str
     revision: int
     token: int
-    apart_ms: int
+    isolated_ms: int
     followers: int
     in_force: tuple[tuple[int, int], ...]
     older: int
@@ -204,7 +204,7 @@
 encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
 _delta = msgspec.msgpack.Decoder(Delta).decode
-_tree = msgspec.msgpack.Decoder(Tree).decode
+_tree = msgspec.msgpack.Decoder(SnapshotDigests).decode
 _entries = msgspec.msgpack.Decoder(dict[str, bytes]).decode
 
 
@@ -213,16 +213,18 @@
     message = _decode(data)
     if isinstance(message, Poll | Fetch | Leave):
         _bounded(message.source, message.member)
-    if isinstance(message, Fetch) and not 1 <= len(message.pieces) <= PIECES_ASKED:
-        raise msgspec.DecodeError(f"{len(message.pieces)} pieces asked for, allowed: 1 to {PIECES_ASKED}")
-    if isinstance(message, Poll) and len(message.text) > TEXT_MOST:
+    if isinstance(message, Fetch) and not 1 <= len(message.pieces) <= MAX_PIECES_PER_FETCH:
+        raise msgspec.DecodeError(
+            f"{len(message.pieces)} pieces asked for, allowed: 1 to {MAX_PIECES_PER_FETCH}"
+        )
+    if isinstance(message, Poll) and len(message.text) > MAX_TEXT_CHARS:
         raise msgspec.DecodeError("the text is too long")
     return message
 
 
 def _bounded(*names: str) -> None:
-    if any(not 1 <= len(name.encode()) <= NAME_MOST for name in names):
-        raise msgspec.DecodeError(f"a name of no or too many bytes, allowed: 1 to {NAME_MOST}")
+    if any(not 1 <= len(name.encode()) <= MAX_NAME_BYTES for name in names):
+        raise msgspec.DecodeError(f"a name of no or too many bytes, allowed: 1 to {MAX_NAME_BYTES}")
 
 
 def _checked(read: Callable, data: bytes):
@@ -237,7 +239,7 @@
     return _checked(_delta, data)
 
 
-def read_tree(data: bytes) -> Tree:
+def read_snapshot_digests(data: bytes) -> SnapshotDigests:
     """A snapshot's top; `ValueError`."""
     return _checked(_tree, data)
 
