--- a/willownotch/usage/core.py
+++ b/willownotch/usage/core.py
@@ -1,20 +1,21 @@
-"""Counts replicated over all instances: a state-based counter whose changes travel as deltas. No I/O, no
-clock.
-
-Each process has a *life*, a random number, and writes only that life's rows; a row's counts only grow, and
-each change has the life's next version. Who holds a life up to version f holds exactly its rows as of some
-moment. A *part* brings a life from one version to a later one, whoever hands it on, and is merged if it
-joins what is held: again, late or twice it changes nothing (delta-interval-based anti-entropy after Almeida,
-Shoker, Baquero, 2018; counters by grow-only sums, Shapiro and others, 2011).
-
-Each instance asks a few others now and then what is newer than it holds, so what was lost is asked for
-again. An answer says of each life how long ago it stood like this; a time spent on the way is bounded by the
-asker's own clock, whose stamp comes back. So ages are upper bounds and no two clocks need agree, only their
-speed.
-
-Lives that are over are folded (see `settled`). That this is safe rests on a rule of time: who has heard no
-answer for half of `gone` takes a new life, and hands on nothing it held before; the others fold a life that
-they have not heard of for all of `gone`.
+"""Counts replicated over all instances, as a state-based counter (a CRDT) whose changes travel as deltas.
+Free of I/O, and reads no clock.
+
+Each process counts in a *session* with a random id, and writes the rows of that session only. The counts of
+a row only grow, and each change takes the session's next version. An instance that holds a session up to
+version v holds exactly the session's rows as of some moment. A *delta* brings a session from one version to
+a later one, whichever instance sends it, and is merged if it joins what is held already. Repeated, late or
+duplicate deltas change nothing (delta-interval-based anti-entropy after Almeida, Shoker and Baquero, 2018;
+grow-only counters after Shapiro and others, 2011).
+
+Each instance periodically asks a few others for whatever is newer than what it holds, so a lost message is
+made up for by a later request. A reply states for each session how long ago it was at the version sent. The
+time in transit is bounded by the requester's own clock, whose time stamp the reply returns. So ages are
+upper bounds, and clocks need not agree, only run at the same speed.
+
+Sessions that are over are folded into one sum (see `settled`). That is safe because of a timing rule: an
+instance that has had no reply for half of `gone` starts a new session, and sends nothing on that it held
+before; the others fold a session only after hearing nothing of it for all of `gone`.
 """
 
 from __future__ import annotations
@@ -26,48 +27,48 @@
 
 from willownotch.peers.core import Send
 from willownotch.peers.wire import Address
-from willownotch.usage.estimate import Interval, interval
+from willownotch.usage.estimate import Interval, count_interval
 from willownotch.usage.settings import UsageSettings
-from willownotch.usage.settled import Candidate, Settled, add
-from willownotch.usage.windows import Series
+from willownotch.usage.settled import SettledCounts, SettledDownload, add_counts
+from willownotch.usage.windows import RateWindow
 from willownotch.usage.wire import (
-    LIFE_BITS,
-    NOTHING,
-    Ask,
-    Chunk,
+    SESSION_ID_BITS,
+    ZERO_COUNTS,
     CountKind,
+    Delta,
+    DeltaReply,
+    DeltaRequest,
     Key,
     Message,
-    Part,
     Row,
-    Tell,
+    SettledChunk,
     encode,
 )
 
-DATAGRAM = 1250  # bytes of a message at the most, what the transport adds not counted
-LIVES = 60  # named in one ask
-PART_SIZE = 40  # bytes of a part without rows, at the most, its name not counted
-EARLY = 32  # pieces of one life that came before those they join
-TOP = 2**LIFE_BITS - 1
-CANDIDATE_S = 5.0  # without progress, after which another settled part is looked at
+MAX_MESSAGE_BYTES = 1250  # without what the transport adds
+MAX_SESSIONS_PER_REQUEST = 60
+DELTA_OVERHEAD_BYTES = 40  # upper bound for a delta without its rows and name
+MAX_PENDING_DELTAS = 32  # of one session, received before the deltas that they join
+MAX_SESSION_ID = 2**SESSION_ID_BITS - 1
+DOWNLOAD_TIMEOUT_S = 5.0  # without progress, after which other settled counts may be downloaded instead
 
 
 @dataclass(slots=True)
 class Session:
-    """What is held of one process's counts. Rows stand in the order of their versions."""
+    """What is held of one process's counts. `rows` is ordered by version."""
 
     id: int
     name: str
     closed: bool = False
-    upto: int = 0
+    version: int = 0
     rows: dict[Key, Row] = field(default_factory=dict)
-    as_of: float | None = None  # all that it had counted at this time, on the own clock, is held
-    over_since: float | None = None  # when its end was heard of
-    stale: bool = False  # held through a long absence: for answers only, never handed on
-    early: dict[int, tuple[Part, float]] = field(default_factory=dict)
+    as_of: float | None = None  # all that it had counted by this time, on the own clock, is held
+    closed_since: float | None = None  # when this instance heard that it had ended
+    stale: bool = False  # held through a long absence: counted here, but not sent to others
+    pending: dict[int, tuple[Delta, float]] = field(default_factory=dict)
 
-    def after(self, version: int) -> list[Row]:
-        """Rows that changed later, the earliest change first."""
+    def rows_after(self, version: int) -> list[Row]:
+        """Returns the rows that changed after a version, in the order of their versions."""
         found = []
         for row in reversed(self.rows.values()):
             if row.version <= version:
@@ -77,441 +78,486 @@
         return found
 
     def put(self, row: Row) -> None:
-        """The newest row; it stands last."""
+        """Stores the row with the highest version so far, and moves it to the end."""
         self.rows.pop(row.key, None)
         self.rows[row.key] = row
-        self.upto = row.version
+        self.version = row.version
 
     def age(self, now: float) -> float:
-        """Seconds since all that it had counted is known; 0 if it counts nothing more."""
+        """Returns the seconds since the moment up to which all its counts are held: 0 for a closed session,
+        infinite if no such moment is known."""
         return 0.0 if self.closed else inf if self.as_of is None else max(0.0, now - self.as_of)
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """What is known of one tenant and class: an interval for each sort, and rates of what was taken on."""
+    """Usage of one tenant and class: an interval for each `CountKind`, and the rates of accepted messages
+    over both windows, in messages a second."""
 
     tenant: bytes
     cls: str
     counts: tuple[Interval, ...]
-    short_rate: float  # messages a second
+    short_rate: float
     long_rate: float
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class UsageReport:
     """What an instance knows of the fleet's usage."""
 
     lines: tuple[Line, ...]
     sessions: int
-    left_out: int  # lines that were not asked for: those with the lowest counts
-    settled: int  # lives in the settled part
-    oldest_s: float  # age of the oldest part
-    oldest: str  # whose it is
-    unheard: tuple[str, ...]  # members that have told nothing yet: until they do, nothing is bounded above
+    left_out: int  # lines beyond the requested number: those with the lowest counts
+    settled: int  # sessions folded into the settled counts
+    oldest_s: float  # age of the session that was heard of longest ago
+    oldest: str  # its instance's name
+    unheard: tuple[str, ...]  # members of which no counts came yet: until they do, there is no upper bound
 
 
 class Usage:
-    """One instance's view of all counts. Feed it by `count`, `exchange` and `receive`.
+    """One instance's view of all counts, fed by `add_own_row`, `start_exchange` and `receive`.
 
-    Times are seconds on the caller's clock, which must not step back. `life` differs for each process.
+    Times are in seconds on the caller's clock, which must not step back. `session` is the random id of this
+    process's session.
     """
 
-    def __init__(self, name: str, life: int, settings: UsageSettings, random: Random, now: float) -> None:
+    def __init__(self, name: str, session: int, settings: UsageSettings, random: Random, now: float) -> None:
         self.name, self.settings, self.random = name, settings, random
-        self.own = Session(life, name, as_of=now)
-        self.sessions: dict[int, Session] = {life: self.own}
-        self.settled = Settled()
-        self.log: list[str] = []  # what an operator should hear; the caller empties it
+        self.own = Session(session, name, as_of=now)
+        self.sessions: dict[int, Session] = {session: self.own}
+        self.settled = SettledCounts()
+        self.log: list[str] = []  # messages for the log; the caller writes and removes them
         self.counters = {"merged": 0, "early": 0, "strange": 0, "renewed": 0, "folded": 0}
-        self.lone = False  # no others are to be expected
-        self.overdue = ""  # why `renew` has to be called before anything else
-        self.unsaved = False  # the folder does not have the settled part, or own former lives, as they are
+        self.is_alone = False  # no other instances are expected
+        self.renewal_reason = ""  # if set, `renew` has to be called before anything else
+        self.unsaved = False  # the settled counts or own former sessions have changed since they were saved
         self._totals: dict[Key, list[int]] = {}
-        self._series: dict[Key, tuple[Series, Series]] = {}
-        self._before: dict[Key, Row | None] = {}  # own rows as they were when they were last told to anybody
-        self._mark = 0  # the own version then
-        self._answered_at: float | None = None
-        self._back_at: float | None = None  # somebody answered after a long absence
-        self._claims: dict[int, dict[int, int]] = {}  # life: asker's life: version that it holds
-        self._current: dict[str, int] = {}  # the life that each name asked with last
-        self._members: set[str] = set()  # who must hold a life before it is folded
-        self._candidate: Candidate | None = None
-        self._turn = 0
-
-    # What is counted here
-
-    def count(self, now: float, row: Row) -> None:
-        """A row of the own life as the tally has made it. Every one has to come, in the order of versions."""
+        self._windows: dict[Key, tuple[RateWindow, RateWindow]] = {}
+        self._rows_last_sent: dict[Key, Row | None] = {}  # changed own rows as they were when last sent
+        self._version_last_sent = 0  # the own version then
+        self._last_reply_at: float | None = None
+        self._reconnected_at: float | None = None  # when the first reply after a long absence came
+        self._versions_held: dict[int, dict[int, int]] = {}  # by session, then by the requester's session
+        self._session_by_name: dict[str, int] = {}  # the session of each name's last request
+        self._members: set[str] = set()  # who must hold a session before it is folded
+        self._download: SettledDownload | None = None
+        self._range_index = 0
+
+    # Own counts
+
+    def add_own_row(self, now: float, row: Row) -> None:
+        """Stores a row of the own session as the tally made it. Needs every row, in the order of versions."""
         old = self.own.rows.get(row.key)
-        self._before.setdefault(row.key, old)
-        self._note(now, row, old)
+        self._rows_last_sent.setdefault(row.key, old)
+        self._update_totals(now, row, old)
         self.own.put(row)
 
     def close(self) -> None:
-        """This process ends: it counts nothing more."""
+        """Marks the own session as ended: this process counts nothing more."""
         self.own.closed = True
 
-    def load(self, sessions: Iterable[Session], settled: Settled) -> None:
-        """What the folder kept of former processes: their lives are over, whoever else holds more of them."""
+    def load(self, sessions: Iterable[Session], settled: SettledCounts) -> None:
+        """Takes over what the folder kept of former processes. Their sessions are over, even if other
+        instances hold more of them."""
         self.settled = settled
-        for life in sessions:
-            if life.id in settled.sessions or life.id in self.sessions:
+        for session in sessions:
+            if session.id in settled.sessions or session.id in self.sessions:
                 continue
-            life.closed, life.over_since = True, self.own.as_of
-            self.sessions[life.id] = life
-        self._recount()
+            session.closed, session.closed_since = True, self.own.as_of
+            self.sessions[session.id] = session
+        self._rebuild_totals()
 
     # Exchange
 
-    def exchange(
+    def start_exchange(
         self, now: float, peers: Sequence[tuple[str, Address]], known: Iterable[str] = ()
     ) -> list[Send]:
-        """Ask a few of those that are there; `known` are all that may still hold counts, also the silent
-        ones."""
+        """Returns requests to a few of the `peers`. `known` names all that may still hold counts, including
+        members that no longer answer."""
         self._members = {name for name, _ in peers} | set(known)
         self._members.discard(self.name)
-        self._absence(now)
-        if self.overdue:
+        self._check_absence(now)
+        if self.renewal_reason:
             return []
-        self._fold_all(now)
-        if not peers or self.own.closed:  # an ask would show that this life goes on
+        self._fold_finished(now)
+        if not peers or self.own.closed:  # a request would show that this session goes on
             return []
-        held = sorted((life.id, life.upto) for life in self.sessions.values() if not life.stale)
-        parts = [held[at : at + LIVES] for at in range(0, len(held), LIVES)]
-        candidate = (self._candidate.digest, self._candidate.have) if self._candidate else (0, 0)
+        held = sorted(
+            (session.id, session.version) for session in self.sessions.values() if not session.stale
+        )
+        ranges = [
+            held[at : at + MAX_SESSIONS_PER_REQUEST] for at in range(0, len(held), MAX_SESSIONS_PER_REQUEST)
+        ]
+        incoming = (self._download.digest, self._download.received_items) if self._download else (0, 0)
         sends = []
         for _, address in self.random.sample(list(peers), min(self.settings.fanout, len(peers))):
-            self._turn = (self._turn + 1) % len(parts)
-            low = parts[self._turn][0][0] if self._turn else 0
-            high = parts[self._turn + 1][0][0] - 1 if self._turn + 1 < len(parts) else TOP
+            self._range_index = (self._range_index + 1) % len(ranges)
+            first_id = ranges[self._range_index][0][0] if self._range_index else 0
+            last_id = (
+                ranges[self._range_index + 1][0][0] - 1
+                if self._range_index + 1 < len(ranges)
+                else MAX_SESSION_ID
+            )
             sends.append(
                 Send(
                     address,
-                    Ask(
+                    DeltaRequest(
                         self.name,
                         self.own.id,
                         round(now * 1e6),
-                        low,
-                        high,
-                        tuple(parts[self._turn]),
+                        first_id,
+                        last_id,
+                        tuple(ranges[self._range_index]),
                         self.settled.digest,
-                        candidate,
+                        incoming,
                     ),
                 )
             )
         return sends
 
     def receive(self, now: float, address: Address, message: Message) -> list[Send]:
-        """A message of another instance, found authentic by the transport."""
-        self._absence(now)
-        if self.overdue:
+        """Handles a message of another instance, authenticated by the transport; returns the replies."""
+        self._check_absence(now)
+        if self.renewal_reason:
             return []
-        if isinstance(message, Ask):
-            return [Send(address, tell) for tell in self._asked(now, message)]
-        if message.life != self.own.id or message.stamp > now * 1e6 + 1:
-            self.counters["strange"] += 1  # an answer to a former process or life
+        if isinstance(message, DeltaRequest):
+            return [Send(address, reply) for reply in self._handle_request(now, message)]
+        if message.session != self.own.id or message.sent_at_us > now * 1e6 + 1:
+            self.counters["strange"] += 1  # a reply to a former process or session
             return []
-        self._answered(now)
-        for part in message.parts:
-            self._merge(now, part, message.stamp / 1e6)
+        self._on_reply(now)
+        for delta in message.deltas:
+            self._merge(now, delta, message.sent_at_us / 1e6)
         if message.chunk is not None:
-            self._take_chunk(now, message.chunk)
+            self._receive_chunk(now, message.chunk)
         return []
 
-    def _asked(self, now: float, ask: Ask) -> list[Tell]:
-        """Answer with what is newer here, own counts first, in a few datagrams at the most."""
-        self._current[ask.source] = ask.life
-        asker = self.sessions.get(ask.life)
-        if asker is not None and asker.closed:
-            # Who says that it is over has an old copy of its folder.
-            asker.closed, asker.over_since = False, None
-        for life, version in ask.held:
-            known = self.sessions.get(life)
-            if known is not None and self._over(now, known):
-                self._claims.setdefault(life, {})[ask.life] = version
-        tells = self._settled_for(ask)
-        packer = Packer(self.name, ask, tells, self.settings.pieces)
-        held = dict(ask.held)
-        wanted = [
-            life
-            for life in self.sessions.values()
-            if ask.low <= life.id <= ask.high and not life.stale and life.id != ask.life
+    def _handle_request(self, now: float, request: DeltaRequest) -> list[DeltaReply]:
+        """Returns what is newer here than the requester holds, own counts first, in at most
+        `settings.pieces` datagrams."""
+        self._session_by_name[request.source] = request.session
+        requester = self.sessions.get(request.session)
+        if requester is not None and requester.closed:
+            # It still sends requests, so whoever reported it as ended had read an old copy of its folder.
+            requester.closed, requester.closed_since = False, None
+        for session_id, version in request.versions:
+            known = self.sessions.get(session_id)
+            if known is not None and self._is_over(now, known):
+                self._versions_held.setdefault(session_id, {})[request.session] = version
+        replies = self._settled_chunks_for(request)
+        packer = ReplyPacker(self.name, request, replies, self.settings.pieces)
+        held = dict(request.versions)
+        to_send = [
+            session
+            for session in self.sessions.values()
+            if request.first_id <= session.id <= request.last_id
+            and not session.stale
+            and session.id != request.session
         ]
-        self.random.shuffle(wanted)
-        # The end of a life comes after the counts of the one that followed it.
-        wanted.sort(key=lambda life: (life is not self.own, life.closed))
-        for life in wanted:
-            after = held.get(life.id, -1)
-            age = 0.0 if life is self.own else life.age(now)
-            if after <= life.upto and not packer.add(life, after, None if age == inf else ceil(age * 1000)):
+        self.random.shuffle(to_send)
+        # Closed sessions go last: the requester has to learn a successor's counts before the end of the
+        # session that it follows.
+        to_send.sort(key=lambda session: (session is not self.own, session.closed))
+        for session in to_send:
+            from_version = held.get(session.id, -1)
+            age = 0.0 if session is self.own else session.age(now)
+            if from_version <= session.version and not packer.add(
+                session, from_version, None if age == inf else ceil(age * 1000)
+            ):
                 break
         packer.flush()
-        if ask.low <= self.own.id <= ask.high:
-            self._before, self._mark = {}, self.own.upto
-        return tells
-
-    def _settled_for(self, ask: Ask) -> list[Tell]:
-        """The next pieces of the settled part, for who has another one."""
-        mine = self.settled
-        if not mine.sessions or ask.settled == mine.digest or ask.candidate == (mine.digest, mine.items()):
+        if request.first_id <= self.own.id <= request.last_id:
+            self._rows_last_sent, self._version_last_sent = {}, self.own.version
+        return replies
+
+    def _settled_chunks_for(self, request: DeltaRequest) -> list[DeltaReply]:
+        """Returns the next chunks of the settled counts, if the requester has others."""
+        settled = self.settled
+        if (
+            not settled.sessions
+            or request.settled_digest == settled.digest
+            or request.incoming == (settled.digest, settled.item_count())
+        ):
             return []
-        tells, at = [], ask.candidate[1] if ask.candidate[0] == mine.digest else 0
+        replies, at = [], request.incoming[1] if request.incoming[0] == settled.digest else 0
         for _ in range(max(1, self.settings.pieces // 2)):
-            chunk = mine.chunk(at, DATAGRAM - 100)
-            tells.append(Tell(self.name, ask.life, ask.stamp, (), chunk))
+            chunk = settled.chunk(at, MAX_MESSAGE_BYTES - 100)
+            replies.append(DeltaReply(self.name, request.session, request.sent_at_us, (), chunk))
             at += len(chunk.sessions) + len(chunk.rows)
-            if at >= chunk.total:
+            if at >= chunk.total_items:
                 break
-        return tells
+        return replies
 
     # Merging
 
-    def _merge(self, now: float, part: Part, asked_at: float) -> None:
-        """Take a part that joins what is held. `asked_at` is when its ask went out."""
-        if part.life in self.settled.sessions or part.life == self.own.id:
+    def _merge(self, now: float, delta: Delta, requested_at: float) -> None:
+        """Merges a delta if it joins what is held. `requested_at` is when its request was sent."""
+        if delta.session in self.settled.sessions or delta.session == self.own.id:
             return
-        life = self.sessions.get(part.life)
-        if life is None:
-            if not part.name:
-                return  # an answer to an ask from before it was folded or dropped
-            life = self.sessions[part.life] = Session(part.life, part.name)
-        if life.stale:  # others have it still: what they hold counts
-            life = self.sessions[part.life] = Session(part.life, life.name)
-            self._recount()
+        session = self.sessions.get(delta.session)
+        if session is None:
+            if not delta.name:
+                return  # a reply to a request sent before the session was folded or dropped
+            session = self.sessions[delta.session] = Session(delta.session, delta.name)
+        if session.stale:  # others still hold it, and their copy counts
+            session = self.sessions[delta.session] = Session(delta.session, session.name)
+            self._rebuild_totals()
             self.unsaved = True
-        if part.after > life.upto:
+        if delta.from_version > session.version:
             self.counters["early"] += 1
-            if len(life.early) < EARLY:
-                life.early[part.after] = part, asked_at
+            if len(session.pending) < MAX_PENDING_DELTAS:
+                session.pending[delta.from_version] = delta, requested_at
             return
-        if not _plausible(part, life):
+        if not _is_plausible(delta, session):
             self.counters["strange"] += 1
             return
-        if part.upto > life.upto and life.closed and not part.closed:
-            life.closed, life.over_since = False, None  # it had gone on
-        for row in part.rows:
-            if row.version > life.upto:
-                self._note(now, row, life.rows.get(row.key))
-                life.put(row)
-        life.upto = max(life.upto, part.upto)
+        if delta.to_version > session.version and session.closed and not delta.closed:
+            session.closed, session.closed_since = False, None  # it had gone on counting
+        for row in delta.rows:
+            if row.version > session.version:
+                self._update_totals(now, row, session.rows.get(row.key))
+                session.put(row)
+        session.version = max(session.version, delta.to_version)
         self.counters["merged"] += 1
-        if part.age_ms is not None and life.upto >= part.upto:
-            as_of = asked_at - part.age_ms / 1000
-            life.as_of = as_of if life.as_of is None else max(life.as_of, as_of)
-            if part.closed and not life.closed:
-                life.closed, life.over_since = True, now
-        joined = next((after for after in life.early if after <= life.upto), None)
+        if delta.age_ms is not None and session.version >= delta.to_version:
+            as_of = requested_at - delta.age_ms / 1000
+            session.as_of = as_of if session.as_of is None else max(session.as_of, as_of)
+            if delta.closed and not session.closed:
+                session.closed, session.closed_since = True, now
+        joined = next((version for version in session.pending if version <= session.version), None)
         if joined is not None:
-            self._merge(now, *life.early.pop(joined))
+            self._merge(now, *session.pending.pop(joined))
 
-    def _note(self, now: float, row: Row, old: Row | None) -> None:
-        """Bring the totals along with a row's change."""
+    def _update_totals(self, now: float, row: Row, old: Row | None) -> None:
+        """Adds the difference between a row and the one it replaces to the totals."""
         totals = self._totals.get(row.key)
         if totals is None:
-            totals = self._totals[row.key] = list(NOTHING)
-        series = self._series.get(row.key)
-        if series is None:
-            series = self._series[row.key] = (
-                Series(self.settings.short_window.total_seconds()),
-                Series(self.settings.long_window.total_seconds()),
+            totals = self._totals[row.key] = list(ZERO_COUNTS)
+        windows = self._windows.get(row.key)
+        if windows is None:
+            windows = self._windows[row.key] = (
+                RateWindow(self.settings.short_window.total_seconds()),
+                RateWindow(self.settings.long_window.total_seconds()),
             )
-        for each in series:
-            each.note(now, totals[CountKind.TAKEN])
-        before = old.counts if old else NOTHING
-        for place, (new, was) in enumerate(zip(row.counts, before, strict=True)):
-            totals[place] += new - was
-
-    def _recount(self) -> None:
-        """The totals anew, after lives came, went or were folded by another."""
+        for window in windows:
+            window.add_sample(now, totals[CountKind.TAKEN])
+        before = old.counts if old else ZERO_COUNTS
+        for kind, (new, previous) in enumerate(zip(row.counts, before, strict=True)):
+            totals[kind] += new - previous
+
+    def _rebuild_totals(self) -> None:
+        """Recomputes the totals after sessions were added, dropped, or folded by another instance."""
         self._totals = {key: list(counts) for key, counts in self.settled.rows.items()}
-        for life in self.sessions.values():
-            for key, row in life.rows.items():
-                self._totals[key] = list(add(tuple(self._totals.get(key, NOTHING)), row.counts))
+        for session in self.sessions.values():
+            for key, row in session.rows.items():
+                self._totals[key] = list(add_counts(tuple(self._totals.get(key, ZERO_COUNTS)), row.counts))
 
     # Absence
 
-    def _answered(self, now: float) -> None:
-        self._answered_at = now
-        if self._back_at is None and any(life.stale for life in self.sessions.values()):
-            self._back_at = now
-            for life in [life for life in self.sessions.values() if life.stale and life.name != self.name]:
-                del self.sessions[life.id]
-            self._claims.clear()
-            self._recount()
-
-    def _absence(self, now: float) -> None:
-        """Who had others and hears no answer for half of `gone` may have been given up by them."""
+    def _on_reply(self, now: float) -> None:
+        self._last_reply_at = now
+        if self._reconnected_at is None and any(session.stale for session in self.sessions.values()):
+            self._reconnected_at = now
+            for session in [
+                session for session in self.sessions.values() if session.stale and session.name != self.name
+            ]:
+                del self.sessions[session.id]
+            self._versions_held.clear()
+            self._rebuild_totals()
+
+    def _check_absence(self, now: float) -> None:
+        """Requires a new session after half of `gone` without a reply: the others may soon fold the present
+        one."""
         half = self.settings.gone.total_seconds() / 2
-        if self._answered_at is not None and now - self._answered_at > half:
-            self.overdue = self.overdue or f"no answer for {now - self._answered_at:.0f} s"
-        if self._back_at is not None and now - self._back_at > self.settings.settle.total_seconds():
-            # Nobody else holds these any more.
-            for life in self.sessions.values():
-                life.stale = False
-            self._back_at = None
+        if self._last_reply_at is not None and now - self._last_reply_at > half:
+            self.renewal_reason = self.renewal_reason or f"no reply for {now - self._last_reply_at:.0f} s"
+        if (
+            self._reconnected_at is not None
+            and now - self._reconnected_at > self.settings.settle.total_seconds()
+        ):
+            # No other instance holds these sessions any more.
+            for session in self.sessions.values():
+                session.stale = False
+            self._reconnected_at = None
 
     def renew(self, now: float) -> None:
-        """Take a new life, with what was counted since the own counts were last told; the rest stays with the
-        old one, which is not handed on: what others hold of it counts."""
-        old, why = self.own, self.overdue
-        new = Session(self.random.getrandbits(LIFE_BITS) or 1, self.name, as_of=now)
-        for key, before in self._before.items():
-            row, was = old.rows[key], before.counts if before else NOTHING
-            counts = tuple(n - b for n, b in zip(row.counts, was, strict=True))
-            new.put(Row(*key, new.upto + 1, counts, row.peak))
+        """Starts a new session with what was counted since the own counts were last sent.
+
+        The rest stays with the old session, which this instance does not send on: what the others hold of it
+        counts.
+        """
+        old, reason = self.own, self.renewal_reason
+        new = Session(self.random.getrandbits(SESSION_ID_BITS) or 1, self.name, as_of=now)
+        for key, before in self._rows_last_sent.items():
+            row, previous = old.rows[key], before.counts if before else ZERO_COUNTS
+            counts = tuple(n - p for n, p in zip(row.counts, previous, strict=True))
+            new.put(Row(*key, new.version + 1, counts, row.peak_milli_per_s))
             if before is None:
                 del old.rows[key]
             else:
                 old.rows[key] = before
         old.rows = dict(sorted(old.rows.items(), key=lambda item: item[1].version))
-        old.upto, old.closed, old.over_since = self._mark, True, now
-        for life in self.sessions.values():
-            life.stale = True
+        old.version, old.closed, old.closed_since = self._version_last_sent, True, now
+        for session in self.sessions.values():
+            session.stale = True
         self.own = self.sessions[new.id] = new
-        self._before, self._mark = dict.fromkeys(new.rows), 0
-        self._answered_at = self._back_at = self._candidate = None
-        self.overdue, self.unsaved = "", True
+        self._rows_last_sent, self._version_last_sent = dict.fromkeys(new.rows), 0
+        self._last_reply_at = self._reconnected_at = self._download = None
+        self.renewal_reason, self.unsaved = "", True
         self.counters["renewed"] += 1
-        self.log.append(f"takes a new life: {why}; {len(new.rows)} rows changed since they were last told")
+        self.log.append(f"starts a new session: {reason}; {len(new.rows)} rows changed since the last send")
 
     # Folding
 
-    def _over(self, now: float, life: Session) -> bool:
-        if life.closed:
-            since = life.over_since if life.over_since is not None else now
+    def _is_over(self, now: float, session: Session) -> bool:
+        if session.closed:
+            since = session.closed_since if session.closed_since is not None else now
             return now - since >= self.settings.settle.total_seconds()
-        return life.as_of is not None and life.age(now) > self.settings.gone.total_seconds()
+        return session.as_of is not None and session.age(now) > self.settings.gone.total_seconds()
 
-    def _fold_all(self, now: float) -> None:
-        """Fold the lives that are over and that every instance holds as it is held here."""
-        if not (self.lone or self._answered_at is not None):
+    def _fold_finished(self, now: float) -> None:
+        """Folds the sessions that are over and that every instance holds at the same version as this one."""
+        if not (self.is_alone or self._last_reply_at is not None):
             return  # others may hold more
         over = [
-            life
-            for life in self.sessions.values()
-            if life is not self.own and not life.stale and self._over(now, life)
+            session
+            for session in self.sessions.values()
+            if session is not self.own and not session.stale and self._is_over(now, session)
         ]
         if not over:
             return
-        askers = {name: self._current.get(name) for name in self._members}
+        member_sessions = {name: self._session_by_name.get(name) for name in self._members}
         folded = False
-        for life in over:
-            claims = self._claims.get(life.id, {})
-            if all(asker is not None and claims.get(asker) == life.upto for asker in askers.values()):
-                self._fold(life)
+        for session in over:
+            versions = self._versions_held.get(session.id, {})
+            if all(
+                member is not None and versions.get(member) == session.version
+                for member in member_sessions.values()
+            ):
+                self._fold(session)
                 folded = True
         if folded:
-            self._recount()
+            self._rebuild_totals()
 
-    def _fold(self, life: Session) -> None:
-        self.settled.fold(life.id, life.upto, life.rows.values())
-        del self.sessions[life.id]
-        self._claims.pop(life.id, None)
+    def _fold(self, session: Session) -> None:
+        self.settled.fold(session.id, session.version, session.rows.values())
+        del self.sessions[session.id]
+        self._versions_held.pop(session.id, None)
         self.unsaved = True
         self.counters["folded"] += 1
 
-    def _take_chunk(self, now: float, chunk: Chunk) -> None:
-        """A piece of another's settled part. What it has folded can be folded here, too, at the same
-        version."""
+    def _receive_chunk(self, now: float, chunk: SettledChunk) -> None:
+        """Adds a chunk of another instance's settled counts.
+
+        A session that the other has folded can be folded here too, if it is held at the same version.
+        """
         if chunk.digest == self.settled.digest:
             return
-        known = self._candidate
+        download = self._download
         if (
-            known is None
-            or known.digest != chunk.digest
-            and (known.complete() or now - known.touched > CANDIDATE_S)
+            download is None
+            or download.digest != chunk.digest
+            and (download.is_complete() or now - download.last_chunk_at > DOWNLOAD_TIMEOUT_S)
         ):
-            self._candidate = known = Candidate(chunk.digest, chunk.total, now)
-        done = known.take(now, chunk)
-        if any(number == self.own.id for number, _ in chunk.sessions):
-            self.overdue = "the others have folded the present one"
+            self._download = download = SettledDownload(chunk.digest, chunk.total_items, now)
+        done = download.add_chunk(now, chunk)
+        if any(session_id == self.own.id for session_id, _ in chunk.sessions):
+            self.renewal_reason = "other instances have folded the present session"
             return
         before = self.settled.digest
-        for number, version in chunk.sessions:
-            life = self.sessions.get(number)
-            if life is not None and not life.stale and life.upto == version:
-                self._fold(life)
-        if done and self.settled.digest != known.digest and known.part.covers(self.settled.sessions):
-            for number in known.part.sessions:
-                self.sessions.pop(number, None)
-                self._claims.pop(number, None)
-            self.settled, self._candidate, self.unsaved = known.part, None, True
+        for session_id, version in chunk.sessions:
+            session = self.sessions.get(session_id)
+            if session is not None and not session.stale and session.version == version:
+                self._fold(session)
+        if done and self.settled.digest != download.digest and download.counts.covers(self.settled.sessions):
+            for session_id in download.counts.sessions:
+                self.sessions.pop(session_id, None)
+                self._versions_held.pop(session_id, None)
+            self.settled, self._download, self.unsaved = download.counts, None, True
         if self.settled.digest != before:
-            self._recount()
-
-    # Answers
-
-    def fleet_count(self, now: float, tenant: bytes, cls: str, sort: CountKind = CountKind.TAKEN) -> Interval:
-        """One count of the whole fleet."""
-        return self._interval(now, (tenant, cls), sort, self.complete())
-
-    def complete(self) -> bool:
-        """Whether all that may count have told something: else there is no upper bound to be had."""
-        return (self.lone or self._answered_at is not None) and not self.unheard()
-
-    def _interval(self, now: float, key: Key, sort: CountKind, complete: bool) -> Interval:
-        settled = self.settled.rows.get(key, NOTHING)[sort]
-        found = Interval(settled, settled, settled if complete else inf)
-        for life in self.sessions.values():
-            row = life.rows.get(key)
-            held = row.counts[sort] if row else 0
-            if life is self.own:
-                found += Interval(held, held, held)
+            self._rebuild_totals()
+
+    # Reports
+
+    def fleet_count(self, now: float, tenant: bytes, cls: str, kind: CountKind = CountKind.TAKEN) -> Interval:
+        """Returns the interval of one count over all instances."""
+        return self._interval(now, (tenant, cls), kind, self.is_complete())
+
+    def is_complete(self) -> bool:
+        """Whether counts of all members were received; without them no upper bound holds."""
+        return (self.is_alone or self._last_reply_at is not None) and not self.unheard()
+
+    def _interval(self, now: float, key: Key, kind: CountKind, complete: bool) -> Interval:
+        settled = self.settled.rows.get(key, ZERO_COUNTS)[kind]
+        total = Interval(settled, settled, settled if complete else inf)
+        for session in self.sessions.values():
+            row = session.rows.get(key)
+            held = row.counts[kind] if row else 0
+            if session is self.own:
+                total += Interval(held, held, held)
             else:
-                found += interval(held, row.peak / 1000 if row else 0.0, life.age(now), self.settings.growth)
-        return found
+                total += count_interval(
+                    held,
+                    row.peak_milli_per_s / 1000 if row else 0.0,
+                    session.age(now),
+                    self.settings.growth,
+                )
+        return total
 
-    def totals(self, sort: CountKind = CountKind.TAKEN) -> dict[Key, int]:
-        """What is held of all counts, by tenant and class."""
-        return {key: counts[sort] for key, counts in self._totals.items()}
+    def totals(self, kind: CountKind = CountKind.TAKEN) -> dict[Key, int]:
+        """Returns the sum of all counts held, by tenant and class."""
+        return {key: counts[kind] for key, counts in self._totals.items()}
 
     def unheard(self) -> tuple[str, ...]:
-        """Members that may count, and of which nothing has been told yet."""
-        told = {life.name for life in self.sessions.values() if not life.stale and life.as_of is not None}
-        return tuple(sorted(self._members - told))
-
-    def answer(self, now: float, tenant: bytes | None = None, most: int = 10**9) -> Answer:
-        """All that is known, or what is known of one tenant, so many lines at the most, the highest counts
-        first."""
+        """Returns the names of members that may count, and of which no counts were received yet."""
+        heard = {
+            session.name
+            for session in self.sessions.values()
+            if not session.stale and session.as_of is not None
+        }
+        return tuple(sorted(self._members - heard))
+
+    def report(self, now: float, tenant: bytes | None = None, max_lines: int = 10**9) -> UsageReport:
+        """Returns the usage of one tenant, or of all, in at most `max_lines` lines, highest counts first."""
         keys = [k for k in self._totals if tenant is None or k[0] == tenant]
         keys.sort(key=lambda k: (-self._totals[k][CountKind.TAKEN], k))
-        left_out, keys = max(0, len(keys) - most), keys[:most]
-        lines, complete = [], self.complete()
+        left_out, keys = max(0, len(keys) - max_lines), keys[:max_lines]
+        lines, complete = [], self.is_complete()
         for key in keys:
             taken = self._totals[key][CountKind.TAKEN]
-            rates = [s.rate(now, taken) for s in self._series[key]] if key in self._series else [0.0, 0.0]
+            rates = [w.rate(now, taken) for w in self._windows[key]] if key in self._windows else [0.0, 0.0]
             lines.append(
-                Line(*key, tuple(self._interval(now, key, sort, complete) for sort in CountKind), *rates)
+                Line(*key, tuple(self._interval(now, key, kind, complete) for kind in CountKind), *rates)
             )
-        ages = [(life.age(now), life.name) for life in self.sessions.values() if life is not self.own]
+        ages = [
+            (session.age(now), session.name) for session in self.sessions.values() if session is not self.own
+        ]
         oldest = max(ages, default=(0.0, self.name))
-        return Answer(
+        return UsageReport(
             tuple(lines), len(self.sessions), left_out, len(self.settled.sessions), *oldest, self.unheard()
         )
 
-    def rates(self, keys: Iterable[Key]) -> tuple[float, list[float]]:
-        """Peak rates over some tenants and classes, messages a second: the own one, and one for each other
-        instance that may still count. Of one that is there and has told nothing it is 0."""
+    def peak_rates(self, keys: Iterable[Key]) -> tuple[float, list[float]]:
+        """Returns peak rates summed over some tenants and classes, in messages a second: the own one, and
+        one for each other instance that may still count (0 for members of which no counts were received)."""
         keys, own, others = list(keys), 0.0, [0.0] * len(self.unheard())
-        for life in self.sessions.values():
-            rate = sum(row.peak for key in keys if (row := life.rows.get(key))) / 1000
-            if life is self.own:
+        for session in self.sessions.values():
+            rate = sum(row.peak_milli_per_s for key in keys if (row := session.rows.get(key))) / 1000
+            if session is self.own:
                 own = rate
-            elif not life.closed:
+            elif not session.closed:
                 others.append(rate)
         return own, others
 
 
-def _plausible(part: Part, life: Session) -> bool:
-    """Whether a part could have come of counting: versions in order, and no count below the one that is
-    held."""
-    version = part.after
-    for row in part.rows:
-        if not version < row.version <= part.upto:
+def _is_plausible(delta: Delta, session: Session) -> bool:
+    """Whether counting can have produced a delta: versions in order, and no count below the one held."""
+    version = delta.from_version
+    for row in delta.rows:
+        if not version < row.version <= delta.to_version:
             return False
         version = row.version
-        held = life.rows.get(row.key)
+        held = session.rows.get(row.key)
         if (
             held is not None
             and row.version > held.version
@@ -521,49 +567,55 @@
     return True
 
 
-class Packer:
-    """Packs parts into the datagrams of one answer."""
+class ReplyPacker:
+    """Packs deltas into the datagrams of one reply."""
 
-    def __init__(self, name: str, ask: Ask, tells: list[Tell], most: int) -> None:
-        self.name, self.ask, self.tells, self.most = name, ask, tells, most
-        self._parts: list[Part] = []
-        self._room = DATAGRAM
+    def __init__(self, name: str, request: DeltaRequest, replies: list[DeltaReply], max_replies: int) -> None:
+        self.name, self.request, self.replies, self.max_replies = name, request, replies, max_replies
+        self._deltas: list[Delta] = []
+        self._bytes_left = MAX_MESSAGE_BYTES
 
-    def add(self, life: Session, held: int, age_ms: int | None) -> bool:
-        """All of a life after version `held`, -1 if nothing is held, in several parts if need be; False if
-        the answer is full."""
-        rows, after, name = life.after(held), max(0, held), "" if held >= 0 else life.name
+    def add(self, session: Session, held_version: int, age_ms: int | None) -> bool:
+        """Adds all of a session after `held_version` (-1 if the requester holds nothing of it), in several
+        deltas if needed. Returns False if the reply is full."""
+        rows, from_version, name = (
+            session.rows_after(held_version),
+            max(0, held_version),
+            "" if held_version >= 0 else session.name,
+        )
         at = 0
         while True:
-            taken, size = [], PART_SIZE + len(name.encode())
-            while at < len(rows) and size + (cost := len(encode(rows[at]))) <= self._room:
-                taken.append(rows[at])
+            packed, size = [], DELTA_OVERHEAD_BYTES + len(name.encode())
+            while at < len(rows) and size + (cost := len(encode(rows[at]))) <= self._bytes_left:
+                packed.append(rows[at])
                 size += cost
                 at += 1
-            whole = at == len(rows)
-            if size <= self._room and (taken or whole):
-                upto = life.upto if whole else taken[-1].version
-                self._parts.append(
-                    Part(
-                        life.id,
+            is_last = at == len(rows)
+            if size <= self._bytes_left and (packed or is_last):
+                to_version = session.version if is_last else packed[-1].version
+                self._deltas.append(
+                    Delta(
+                        session.id,
                         name,
-                        life.closed and whole,
-                        after,
-                        upto,
-                        age_ms if whole else None,
-                        tuple(taken),
+                        session.closed and is_last,
+                        from_version,
+                        to_version,
+                        age_ms if is_last else None,
+                        tuple(packed),
                     )
                 )
-                self._room -= size
-                after = upto
-                if whole:
+                self._bytes_left -= size
+                from_version = to_version
+                if is_last:
                     return True
             if not self.flush():
                 return False
 
     def flush(self) -> bool:
-        """Begin the next datagram; False if there are enough of them."""
-        if self._parts or not self.tells:
-            self.tells.append(Tell(self.name, self.ask.life, self.ask.stamp, tuple(self._parts)))
-        self._parts, self._room = [], DATAGRAM
-        return len(self.tells) < self.most
+        """Ends the present datagram; returns False if the reply may not have another one."""
+        if self._deltas or not self.replies:
+            self.replies.append(
+                DeltaReply(self.name, self.request.session, self.request.sent_at_us, tuple(self._deltas))
+            )
+        self._deltas, self._bytes_left = [], MAX_MESSAGE_BYTES
+        return len(self.replies) < self.max_replies
--- a/willownotch/usage/estimate.py
+++ b/willownotch/usage/estimate.py
@@ -1,18 +1,19 @@
-"""The error model: the interval that a count lies in, from what is held and how old it is.
+"""The error model: bounds for a count, from what is held of it and how old that is.
 
-What is held of another instance was all that it had counted at some moment, at most `age` ago. Counts never
-go down, so what is held is a lower bound whatever happens. Above it lies what the instance may have counted
-since. The model for that: in any unseen stretch an instance counts for one tenant and class at most `growth`
-times the peak rate it last told of, spread as a Poisson process is, and one more message. So after an age a,
-with r the peak rate,
+What is held of another instance is all that it had counted at some moment, at most `age` seconds ago. Counts
+never decrease, so what is held is always a lower bound. The upper bound adds what the instance may have
+counted since. The model assumes that, while it is not heard of, an instance counts for one tenant and class
+at most `growth` times the peak rate that it last reported, as a Poisson process, and one more message. So
+after an age a, with peak rate r, the instance has counted at most
 
-    growth(a) = g r a + Z sqrt(g r a) + 1
+    g r a + Z sqrt(g r a) + 1
 
-(the normal bound on a Poisson count, with Z = 4 missed less than once in 10,000 answers; the last term is
-for the first message of a pair that was never seen before). It needs that clocks run at the same speed
-within DRIFT, and never that they agree. It is wrong for a load that jumps by more than `growth` while
-nothing is heard of the instance: then the count is above the interval until the next exchange. It says
-nothing of an instance that nobody here has ever heard of.
+more messages. This is the normal bound on a Poisson count; Z = 4 is exceeded less than once in 10,000
+reports. The last term covers the first message of a tenant and class that was never seen before.
+
+Clocks must run at the same speed within `MAX_CLOCK_DRIFT_SHARE`; they need not agree. The model is wrong for
+a load that rises by more than `growth` while nothing is heard of the instance: then the count is above the
+interval until the next exchange. It says nothing of instances that this one has never heard of.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from dataclasses import dataclass
 from math import inf, sqrt
 
-Z = 4.0
-DRIFT = 0.01  # share by which two clocks may differ in speed
+Z_SCORE = 4.0
+MAX_CLOCK_DRIFT_SHARE = 0.01  # by which two clocks may differ in speed
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A count: what is held, and the bounds it truly lies in. `age_s` is that of the oldest part."""
+    """A count: the value held, and bounds of the true value. `age_s` is the age of the oldest part."""
 
     count: int
     low: int
@@ -34,7 +35,7 @@
     age_s: float = 0.0
 
     def __add__(self, other: Interval) -> Interval:
-        """Of two instances together: the bounds add up, and the oldest age counts."""
+        """Returns the interval of both counts together: bounds add up, and the higher age is kept."""
         return Interval(
             self.count + other.count,
             self.low + other.low,
@@ -43,20 +44,20 @@
         )
 
     def holds(self, truth: int) -> bool:
-        """Whether a value lies inside."""
+        """Whether a value lies inside the interval."""
         return self.low <= truth <= self.high
 
 
-def unseen(peak_per_s: float, age_s: float, growth: float) -> float:
-    """The most that may have been counted in a stretch of `age_s` seconds that nothing was heard of."""
+def max_unseen(peak_per_s: float, age_s: float, growth: float) -> float:
+    """Returns the most messages that an instance may have counted in `age_s` seconds without contact."""
     if age_s <= 0.0:
         return 0.0
     if age_s == inf:
         return inf
-    mean = growth * peak_per_s * age_s * (1 + DRIFT)
-    return mean + Z * sqrt(mean) + 1.0
+    mean = growth * peak_per_s * age_s * (1 + MAX_CLOCK_DRIFT_SHARE)
+    return mean + Z_SCORE * sqrt(mean) + 1.0
 
 
-def interval(held: int, peak_per_s: float, age_s: float, growth: float) -> Interval:
-    """Of one part: its value, its peak rate, its age."""
-    return Interval(held, held, held + unseen(peak_per_s, age_s, growth), age_s)
+def count_interval(held: int, peak_per_s: float, age_s: float, growth: float) -> Interval:
+    """Returns the interval of one instance's count, from the value held, its peak rate and its age."""
+    return Interval(held, held, held + max_unseen(peak_per_s, age_s, growth), age_s)
--- a/willownotch/usage/service.py
+++ b/willownotch/usage/service.py
@@ -1,5 +1,5 @@
-"""Counting in a running sender: its own counts in the folder, the replicated state, and answers to
-questions."""
+"""Usage counting in a running sender: its own counts in the state folder, the replicated state, and replies
+to operators' queries."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from willownotch.files.space import Space
 from willownotch.usage.core import Session, Usage
 from willownotch.usage.estimate import Interval
-from willownotch.usage.layer import Exchanges
-from willownotch.usage.limits import share
+from willownotch.usage.layer import UsageLayer
+from willownotch.usage.limits import share_of_limit
 from willownotch.usage.settings import UsageSettings
-from willownotch.usage.settled import Settled
+from willownotch.usage.settled import SettledCounts
 from willownotch.usage.store import CountStore
 from willownotch.usage.tally import Tally
-from willownotch.usage.wire import LIFE_BITS, CountKind, tenant_key
+from willownotch.usage.wire import SESSION_ID_BITS, CountKind, tenant_key
 
-LOOK_S = 1.0  # between two looks at whether the files want to be written anew
-TELL_S = 1.0  # between two words on parts of quotas
-NEWS = 0.02  # by which a part has to change to be told
-LINES = 1000  # of an answer, unless more are asked for
-SORTS = {sort.name.lower(): sort for sort in CountKind}
+COMPACTION_CHECK_INTERVAL_S = 1.0
+QUOTA_SHARE_INTERVAL_S = 1.0  # between reports of quota shares to the decision module
+MIN_SHARE_CHANGE = 0.02  # smaller changes of a quota share are not reported
+DEFAULT_LINES = 1000  # of a reply, unless the query sets another number
+KIND_BY_NAME = {kind.name.lower(): kind for kind in CountKind}
 
 
 class IntervalView(msgspec.Struct, frozen=True):
-    """A count and its bounds; `high` is null where nothing bounds it."""
+    """A count and its bounds; `high` is null where there is no upper bound."""
 
     count: int
     low: int
@@ -42,7 +42,7 @@
 
 
 class LineView(msgspec.Struct, frozen=True):
-    """One tenant and class."""
+    """Usage of one tenant and class; rates are messages a second."""
 
     tenant: str
     cls: str
@@ -52,28 +52,29 @@
 
 
 class UsageView(msgspec.Struct, frozen=True):
-    """What an instance knows of the fleet's usage."""
+    """What an instance knows of the fleet's usage, as it is written to operators."""
 
     name: str
     lines: list[LineView]
-    left_out: int  # lines beyond those asked for
-    lives: int
-    settled: int
+    left_out: int  # lines beyond the requested number
+    lives: int  # sessions
+    settled: int  # sessions folded into the settled counts
     oldest_s: float | None
     oldest: str
     unheard: list[str]
     counters: dict[str, int]
-    broken: str  # why counts are in memory only, if they are
+    broken: str  # why counts are in memory only; "" if they are not
 
 
 class UsageService:
-    """The counts of one sender. The edge's thread runs the state; any thread may count and ask."""
+    """The usage counts of one sender. The transport's thread drives the replicated state; any thread may
+    count messages and query."""
 
     def __init__(
         self,
         settings: UsageSettings,
         name: str,
-        lone: bool,
+        is_alone: bool,
         folder: Path,
         files: Files,
         space: Space,
@@ -84,130 +85,135 @@
         self.store = CountStore(folder, files, space, say)
         sessions, settled = self.store.read()
         self.usage = Usage(
-            name, secrets.randbits(LIFE_BITS) or 1, settings, Random(secrets.randbits(64)), now
+            name, secrets.randbits(SESSION_ID_BITS) or 1, settings, Random(secrets.randbits(64)), now
         )
-        self.usage.lone = lone
-        self.usage.load([life for life in sessions if life.name == name], settled)
-        former = max(sessions, key=lambda life: life.upto, default=None)
+        self.usage.is_alone = is_alone
+        self.usage.load([session for session in sessions if session.name == name], settled)
+        former = max(sessions, key=lambda session: session.version, default=None)
         self.store.begin(
             Session(self.usage.own.id, name),
             Tally(settings.rows, former=former.rows if former else None, now=now),
         )
-        self.layer = Exchanges(self.usage, now)
-        self.lock = threading.Lock()  # the edge's, once there is one
-        self.on_quota_shares: Callable[[dict[str, float]], None] | None = (
-            None  # the decisions, of parts of quotas
-        )
-        self.tenants: tuple[str, ...] = ()  # that have a quota
+        self.layer = UsageLayer(self.usage, now)
+        self.lock = threading.Lock()  # replaced by the transport's lock once there is one
+        self.on_quota_shares: Callable[[dict[str, float]], None] | None = None  # by tenant
+        self.tenants: tuple[str, ...] = ()  # those with a quota
         self.classes: tuple[str, ...] = ()
-        self._told: dict[str, float] = {}
-        self._tell_at = now
-        self.store.compact(self._former(), settled)
+        self._reported_shares: dict[str, float] = {}
+        self._next_report_at = now
+        self.store.compact(self._former_sessions(), settled)
 
-    def _former(self) -> list[Session]:
-        """Copies of the former lives of this name."""
+    def _former_sessions(self) -> list[Session]:
+        """Returns copies of the former sessions of this name."""
         own = self.usage.own
         return [
-            Session(life.id, life.name, life.closed, life.upto, dict(life.rows))
-            for life in self.usage.sessions.values()
-            if life.name == own.name and life is not own
+            Session(session.id, session.name, session.closed, session.version, dict(session.rows))
+            for session in self.usage.sessions.values()
+            if session.name == own.name and session is not own
         ]
 
     def count_messages(self, messages: Iterable[tuple[str, str, str]]) -> None:
-        """Messages by tenant, class and what became of them, just written to the journal; any thread."""
-        self.store.count(time.monotonic(), [(tenant, cls, SORTS[what]) for tenant, cls, what in messages])
+        """Counts messages that were just written to the journal, each given by its tenant, its class and the
+        name of a `CountKind`. Any thread may call it."""
+        self.store.count(
+            time.monotonic(), [(tenant, cls, KIND_BY_NAME[kind]) for tenant, cls, kind in messages]
+        )
 
     def before(self, now: float) -> None:
-        """What the edge does first in each round: let the state know of what was counted meanwhile."""
-        if self.usage.overdue:
+        """Passes new counts on to the replicated state; the transport calls it first in each round."""
+        if self.usage.renewal_reason:
             with self.store.lock:
-                self._drain(now)
+                self._drain_rows(now)
                 self.usage.renew(now)
                 self.store.renew(self.usage.own)
-        self._drain(now)
-        if self.usage.settings.share_quotas and self.on_quota_shares is not None and now >= self._tell_at:
-            self._tell_at = now + TELL_S
-            self._tell_parts()
+        self._drain_rows(now)
+        if (
+            self.usage.settings.share_quotas
+            and self.on_quota_shares is not None
+            and now >= self._next_report_at
+        ):
+            self._next_report_at = now + QUOTA_SHARE_INTERVAL_S
+            self._report_quota_shares()
         while self.usage.log:
             self.say(self.usage.log.pop(0))
 
-    def _tell_parts(self) -> None:
-        """What part of each quota is this instance's, where that has changed."""
-        by_load, parts = self.usage.settings.own_share, {}
+    def _report_quota_shares(self) -> None:
+        """Reports this instance's share of each quota where it has changed."""
+        by_load, changed = self.usage.settings.own_share, {}
         for tenant in self.tenants:
             keys = [(tenant_key(tenant), cls) for cls in self.classes]
-            part = round(share(*self.usage.rates(keys), by_load), 3)
-            if abs(part - self._told.get(tenant, inf)) >= NEWS:
-                parts[tenant] = self._told[tenant] = part
-                self.say(f"the part of {tenant}'s quota here is {part:g}")
-        if parts:
-            self.on_quota_shares(parts)
+            share = round(share_of_limit(*self.usage.peak_rates(keys), by_load), 3)
+            if abs(share - self._reported_shares.get(tenant, inf)) >= MIN_SHARE_CHANGE:
+                changed[tenant] = self._reported_shares[tenant] = share
+                self.say(f"the part of {tenant}'s quota here is {share:g}")
+        if changed:
+            self.on_quota_shares(changed)
 
-    def _drain(self, now: float) -> None:
-        while not self.store.rows.empty():
-            self.usage.count(now, self.store.rows.get())
+    def _drain_rows(self, now: float) -> None:
+        while not self.store.pending_rows.empty():
+            self.usage.add_own_row(now, self.store.pending_rows.get())
 
     def run_compaction(self) -> None:
-        """Write the files anew where that is wanted; a thread of its own, as a disk may be slow."""
+        """Compacts the files whenever needed, on a thread of its own because a disk may be slow."""
         pause = threading.Event()
         while True:
-            pause.wait(LOOK_S)
-            self.look()
+            pause.wait(COMPACTION_CHECK_INTERVAL_S)
+            self.compact_if_needed()
 
-    def look(self) -> None:
-        """One look at whether the files want to be written anew."""
+    def compact_if_needed(self) -> None:
+        """Compacts the files if something is unsaved or the log is incomplete or too large."""
         if not (self.usage.unsaved or self.store.needs_compaction()):
             return
         with self.lock:
-            former = self._former()
-            settled = Settled(dict(self.usage.settled.sessions), dict(self.usage.settled.rows))
+            former = self._former_sessions()
+            settled = SettledCounts(dict(self.usage.settled.sessions), dict(self.usage.settled.rows))
             self.usage.unsaved = False
         if not self.store.compact(former, settled):
             self.usage.unsaved = True
 
     def close(self) -> None:
-        """The process ends; what it counted is told as final from now on."""
+        """Ends the session when the process ends; from now on its counts are sent as final."""
         self.store.close()
         with self.lock:
-            self._drain(time.monotonic())
+            self._drain_rows(time.monotonic())
             self.usage.close()
 
-    def answer(self, about: dict[str, str]) -> UsageView:
-        """The fleet's usage; `tenant` and `lines` narrow it."""
-        unknown = set(about) - {"tenant", "lines"}
+    def answer(self, query: dict[str, str]) -> UsageView:
+        """Returns the fleet's usage. The query may limit it: `tenant` to one tenant, `lines` to a number."""
+        unknown = set(query) - {"tenant", "lines"}
         if unknown:
             raise BadRequestError(f"unknown word {min(unknown)!r}, allowed: lines, tenant")
         try:
-            most = int(about.get("lines", LINES))
+            max_lines = int(query.get("lines", DEFAULT_LINES))
         except ValueError:
-            raise BadRequestError("'lines' is no whole number") from None
-        tenant = tenant_key(about["tenant"]) if "tenant" in about else None
+            raise BadRequestError("'lines' is not a whole number") from None
+        tenant = tenant_key(query["tenant"]) if "tenant" in query else None
         with self.lock:
             now = time.monotonic()
-            self._drain(now)
-            found = self.usage.answer(now, tenant, most)
+            self._drain_rows(now)
+            report = self.usage.report(now, tenant, max_lines)
             counters = dict(self.usage.counters)
         lines = [
             LineView(
                 line.tenant.decode("utf-8", "backslashreplace"),
                 line.cls,
-                {sort.name.lower(): _view(line.counts[sort]) for sort in CountKind},
+                {kind.name.lower(): _view(line.counts[kind]) for kind in CountKind},
                 round(line.short_rate, 3),
                 round(line.long_rate, 3),
             )
-            for line in found.lines
+            for line in report.lines
         ]
         return UsageView(
             self.usage.name,
             lines,
-            found.left_out,
-            found.sessions,
-            found.settled,
-            None if found.oldest_s == inf else round(found.oldest_s, 3),
-            found.oldest,
-            list(found.unheard),
+            report.left_out,
+            report.sessions,
+            report.settled,
+            None if report.oldest_s == inf else round(report.oldest_s, 3),
+            report.oldest,
+            list(report.unheard),
             counters,
-            self.store.broken,
+            self.store.incomplete_reason,
         )
 
 
--- a/willownotch/usage/settled.py
+++ b/willownotch/usage/settled.py
@@ -1,10 +1,10 @@
-"""The settled part: counts of lives that are over, folded into one sum so that they cost no memory each.
+"""Settled counts: sessions that are over, folded into one sum so that they need no rows of their own.
 
-A fold is local. An instance folds a life into its own settled part once it knows that every instance that is
-there holds that life at the same version; so whoever folds it folds the same figures, and the sum depends on
-the set of folded lives alone. Two settled parts are compared by that set: the larger one takes the smaller
-one's place, which is how who comes new gets it. A folded life is remembered by its number, and never counted
-again.
+Folding is local. An instance folds a session into its own settled counts once it knows that every member
+holds that session at the same version. So every instance folds the same figures, and the sum depends only on
+the set of folded sessions. Two settled counts are compared by these sets: the larger one replaces the smaller
+one, which is also how a new instance gets it. The ids of folded sessions are kept, so that none is counted
+twice.
 """
 
 from __future__ import annotations
@@ -14,89 +14,92 @@
 
 import msgspec
 
-from willownotch.usage.wire import NOTHING, Chunk, Counts, Key, Row
+from willownotch.usage.wire import ZERO_COUNTS, Counts, Key, Row, SettledChunk
 
-LIFE_SIZE, ROW_SIZE = 20, 24  # bytes of an item on the wire, what varies not counted
+SESSION_BYTES, ROW_OVERHEAD_BYTES = 20, 24  # of an item on the wire, without its variable part
 encode = msgspec.msgpack.Encoder().encode
 
 
-def add(one: Counts, other: Counts) -> Counts:
-    """Sums, place by place."""
+def add_counts(one: Counts, other: Counts) -> Counts:
+    """Returns the sums, position by position."""
     return tuple(a + b for a, b in zip(one, other, strict=True))
 
 
 @dataclass(slots=True)
-class Settled:
-    """The folded lives, each with the version it was folded at, and the sum of their rows."""
+class SettledCounts:
+    """The folded sessions, each with its version when it was folded, and the sum of their rows."""
 
     sessions: dict[int, int] = field(default_factory=dict)
     rows: dict[Key, Counts] = field(default_factory=dict)
-    digest: int = 0  # of the lives; 0 for none
+    digest: int = 0  # of the sessions; 0 for none
 
-    def fold(self, life: int, version: int, rows: Iterable[Row]) -> None:
-        """Add a life, once."""
-        if life in self.sessions:
+    def fold(self, session: int, version: int, rows: Iterable[Row]) -> None:
+        """Adds a session's rows, unless it is folded already."""
+        if session in self.sessions:
             return
-        self.sessions[life] = version
+        self.sessions[session] = version
         for row in rows:
-            self.rows[row.key] = add(self.rows.get(row.key, NOTHING), row.counts)
+            self.rows[row.key] = add_counts(self.rows.get(row.key, ZERO_COUNTS), row.counts)
         self.digest = digest_of(self.sessions)
 
     def covers(self, other: dict[int, int]) -> bool:
-        """Whether all these lives are folded here, at the same versions."""
-        return all(self.sessions.get(life) == version for life, version in other.items())
+        """Whether all these sessions are folded here, at the same versions."""
+        return all(self.sessions.get(session) == version for session, version in other.items())
 
-    def items(self) -> int:
-        """Pieces of it that travel: lives, then rows."""
+    def item_count(self) -> int:
+        """Returns the number of items that chunks carry: sessions first, then rows."""
         return len(self.sessions) + len(self.rows)
 
-    def chunk(self, at: int, room: int) -> Chunk:
-        """Its items from place `at` on, as many as fit `room` bytes. The order is the same everywhere."""
+    def chunk(self, first_index: int, max_bytes: int) -> SettledChunk:
+        """Returns the items from `first_index` on that fit into `max_bytes`. Their order is the same at all
+        instances."""
         sessions, rows = sorted(self.sessions.items()), sorted(self.rows.items())
-        some_lives, some_rows, place = [], [], at
-        while place < len(sessions) + len(rows) and room > 0:
-            if place < len(sessions):
-                some_lives.append(sessions[place])
-                room -= LIFE_SIZE
+        chunk_sessions, chunk_rows, index = [], [], first_index
+        while index < len(sessions) + len(rows) and max_bytes > 0:
+            if index < len(sessions):
+                chunk_sessions.append(sessions[index])
+                max_bytes -= SESSION_BYTES
             else:
-                (tenant, cls), counts = rows[place - len(sessions)]
+                (tenant, cls), counts = rows[index - len(sessions)]
                 row = tenant, cls, counts
-                room -= len(encode(row))
-                if room < 0 and (some_rows or some_lives):
+                max_bytes -= len(encode(row))
+                if max_bytes < 0 and (chunk_rows or chunk_sessions):
                     break
-                some_rows.append(row)
-            place += 1
-        return Chunk(self.digest, at, self.items(), tuple(some_lives), tuple(some_rows))
+                chunk_rows.append(row)
+            index += 1
+        return SettledChunk(
+            self.digest, first_index, self.item_count(), tuple(chunk_sessions), tuple(chunk_rows)
+        )
 
 
 def digest_of(sessions: dict[int, int]) -> int:
-    """A number for a set of folded lives: the same wherever the set is."""
+    """Returns a number that identifies a set of folded sessions: the same at all instances, never 0."""
     from xxhash import xxh3_64_intdigest
 
     return xxh3_64_intdigest(encode(sorted(sessions.items()))) >> 1 or 1
 
 
 @dataclass(slots=True)
-class Candidate:
-    """Another's settled part, while it comes in."""
+class SettledDownload:
+    """Settled counts of another instance, while their chunks arrive."""
 
     digest: int
-    total: int
-    touched: float  # when a piece came last
-    part: Settled = field(default_factory=Settled)
-    have: int = 0
-
-    def take(self, now: float, chunk: Chunk) -> bool:
-        """Add a chunk if it is the next one; whether all is there and adds up."""
-        if chunk.digest != self.digest or chunk.at != self.have or self.complete():
+    total_items: int
+    last_chunk_at: float
+    counts: SettledCounts = field(default_factory=SettledCounts)
+    received_items: int = 0
+
+    def add_chunk(self, now: float, chunk: SettledChunk) -> bool:
+        """Adds a chunk if it is the next one; returns whether that completes the download."""
+        if chunk.digest != self.digest or chunk.first_index != self.received_items or self.is_complete():
             return False
-        self.touched = now
-        self.part.sessions.update(chunk.sessions)
-        self.part.rows.update({(tenant, cls): counts for tenant, cls, counts in chunk.rows})
-        self.have += len(chunk.sessions) + len(chunk.rows)
-        self.part.digest = self.digest
-        return self.complete()
-
-    def complete(self) -> bool:
-        """Whether all items have come."""
-        return self.have >= self.total
+        self.last_chunk_at = now
+        self.counts.sessions.update(chunk.sessions)
+        self.counts.rows.update({(tenant, cls): counts for tenant, cls, counts in chunk.rows})
+        self.received_items += len(chunk.sessions) + len(chunk.rows)
+        self.counts.digest = self.digest
+        return self.is_complete()
+
+    def is_complete(self) -> bool:
+        """Whether all items have arrived."""
+        return self.received_items >= self.total_items
--- a/willownotch/usage/store.py
+++ b/willownotch/usage/store.py
@@ -1,13 +1,15 @@
-"""This instance's own counts, and the settled part, in the folder that lasts.
+"""This instance's own counts and the settled counts, in the state folder.
 
-    usage/log.N    the rows of the present life, one record for each time something was counted
-    usage/base     all that stood before log N: former lives of this name, the present one, the settled part
+    usage/log.N    rows of the present session, one record each time something was counted
+    usage/base     everything before log N: former sessions of this name, the present one, the settled counts
 
-A record is a length, a checksum (xxh3, 64 bits) and msgpack. A count is in the log before its client is
-answered, by one write, as the journal's records are: a kill loses at most what the process was about to
-count. When a log has grown, the next one is begun, all is written anew as a base beside the old one, and
-takes its place in one step. A torn tail is tolerated, damage is said, and what follows a gap in a life's
-versions is left out: versions have to stand for the same rows here as at the others.
+A record is a length, a checksum (xxh3, 64 bits) and msgpack. A count is written to the log, in one write,
+before its client is answered, as the journal's records are: a kill loses at most the messages whose clients
+had no answer yet. When a log has grown too large, a compaction begins the next one, writes everything
+before it to a new base beside the old one, and replaces the old one atomically.
+
+A torn tail is tolerated, and damage is logged. Rows after a gap in a session's versions are left out,
+because a version has to stand for the same rows here as at the other instances.
 """
 
 from __future__ import annotations
@@ -25,231 +27,238 @@
 from willownotch.files.layer import Files
 from willownotch.files.space import Space, round_to_blocks
 from willownotch.usage.core import Session
-from willownotch.usage.settled import Settled, digest_of
+from willownotch.usage.settled import SettledCounts, digest_of
 from willownotch.usage.tally import Tally
 from willownotch.usage.wire import CountKind, Row, tenant_key
 
-HEAD = Struct("<IQ")
-FRAME_MOST = 1 << 20  # bytes
-LOG_MOST = 256 * 1024  # bytes of a log, after which all is written anew
-PIECE = 200  # rows in one record of a base
+RECORD_HEADER = Struct("<IQ")  # length, checksum
+MAX_RECORD_BYTES = 1 << 20
+MAX_LOG_BYTES = 256 * 1024  # a larger log is compacted
+MAX_ITEMS_PER_RECORD = 200  # in a base
 
 
-class LifeRecord(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A life begins here, or goes on."""
+class SessionRecord(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """A session begins or continues here."""
 
     id: int
     name: str
     closed: bool = False
 
 
-class RowRecord(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Rows of a life, in the order of their versions."""
+class RowsRecord(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """Rows of a session, in the order of their versions."""
 
-    life: int
+    session: int
     rows: tuple[Row, ...]
 
 
 class SettledRecord(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A piece of the settled part."""
+    """Some sessions and rows of the settled counts."""
 
     sessions: tuple[tuple[int, int], ...]
     rows: tuple[tuple[bytes, str, tuple[int, ...]], ...]
 
 
-class BaseRecord(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The base's end: without it, it was cut off. Logs below `log` are in it."""
+class BaseEndRecord(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """The end of a base: without it, the base was cut off. It contains all logs below number `log`."""
 
     log: int
 
 
-Record = LifeRecord | RowRecord | SettledRecord | BaseRecord
+Record = SessionRecord | RowsRecord | SettledRecord | BaseEndRecord
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Record).decode
 
 
-def frame(record: Record) -> bytes:
-    """A record as it stands in a file."""
+def encode_record(record: Record) -> bytes:
+    """Returns a record as it is written to a file, with its header."""
     data = encode(record)
-    return HEAD.pack(len(data), xxh3_64_intdigest(data)) + data
+    return RECORD_HEADER.pack(len(data), xxh3_64_intdigest(data)) + data
 
 
-def frames(data: bytes) -> tuple[list[Record], int]:
-    """The records of a file up to the first that cannot be read, and how many bytes follow from there."""
+def decode_records(data: bytes) -> tuple[list[Record], int]:
+    """Returns a file's records up to the first unreadable one, and the number of bytes from there on."""
     found, at = [], 0
-    while at + HEAD.size <= len(data):
-        size, checksum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + size]
-        if size > FRAME_MOST or len(body) < size or xxh3_64_intdigest(body) != checksum:
+    while at + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, at)
+        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+        if size > MAX_RECORD_BYTES or len(body) < size or xxh3_64_intdigest(body) != checksum:
             break
         try:
             found.append(decode(body))
         except msgspec.DecodeError:
             break
-        at += HEAD.size + size
+        at += RECORD_HEADER.size + size
     return found, len(data) - at
 
 
 class CountStore:
-    """Counts what it is told, writes it down, and puts the rows in a queue for the replicated state.
-
-    Any thread may count.
-    """
+    """Counts messages, writes the counts to the folder, and queues the changed rows in `pending_rows` for the
+    replicated state. `count` may be called by any thread."""
 
     def __init__(self, folder: Path, files: Files, space: Space, say: Callable[[str], None]) -> None:
         self.folder, self.files, self.space, self.say = folder / "usage", files, space, say
-        self.rows: SimpleQueue[Row] = SimpleQueue()
+        self.pending_rows: SimpleQueue[Row] = SimpleQueue()
         self.lock = threading.Lock()
-        self.life = Session(0, "")
+        self.session = Session(0, "")
         self.tally = Tally(0)
-        self.broken = ""  # why the log is not whole: all has to be written anew
-        self._file: int | None = None
-        self._number = 0
-        self._size = 0
-        self._base_size = 0
+        self.incomplete_reason = ""  # why the log lacks counts until the next compaction; "" if it is whole
+        self._log_file: int | None = None
+        self._log_number = 0
+        self._log_bytes = 0
+        self._base_bytes = 0
 
     # Reading
 
-    def read(self) -> tuple[list[Session], Settled]:
-        """Former lives of this name, and the settled part; what is damaged is said and left out."""
+    def read(self) -> tuple[list[Session], SettledCounts]:
+        """Returns the former sessions of this name and the settled counts. Damage is logged and left out."""
         sessions: dict[int, Session] = {}
-        settled, first = Settled(), 0
+        settled, first_log = SettledCounts(), 0
         try:
             names = self.files.names(self.folder)
         except FileNotFoundError:
             return [], settled
         logs = sorted(int(n[4:]) for n in names if n.startswith("log.") and n[4:].isdigit())
-        self._number = logs[-1] if logs else 0
+        self._log_number = logs[-1] if logs else 0
         if "base.new" in names:
             self.files.remove(self.folder / "base.new")
         if "base" in names:
-            self._base_size = self.files.size(self.folder / "base")
-            records = self._records("base")
-            if records and isinstance(records[-1], BaseRecord):
-                first = records[-1].log
+            self._base_bytes = self.files.size(self.folder / "base")
+            records = self._read_records("base")
+            if records and isinstance(records[-1], BaseEndRecord):
+                first_log = records[-1].log
             else:
                 self.say("the base of the counts is cut off or damaged: what can be read of it counts")
             self._apply(records, sessions, settled, contiguous=False)
         for number in logs:
-            if number >= first:
-                self._apply(self._records(f"log.{number}"), sessions, settled, contiguous=True)
+            if number >= first_log:
+                self._apply(self._read_records(f"log.{number}"), sessions, settled, contiguous=True)
         settled.digest = digest_of(settled.sessions) if settled.sessions else 0
-        self._number = max(self._number, first)
-        return [life for life in sessions.values() if life.rows or life.closed], settled
+        self._log_number = max(self._log_number, first_log)
+        return [session for session in sessions.values() if session.rows or session.closed], settled
 
-    def _records(self, name: str) -> list[Record]:
+    def _read_records(self, name: str) -> list[Record]:
         data = self.files.read_whole(self.folder / name)
         self.space.settle(0, round_to_blocks(len(data)))
-        records, rest = frames(data)
-        if rest:
-            self.say(f"{name}: the last {rest} bytes cannot be read")
+        records, unreadable_bytes = decode_records(data)
+        if unreadable_bytes:
+            self.say(f"{name}: the last {unreadable_bytes} bytes cannot be read")
         return records
 
     def _apply(
-        self, records: Iterable[Record], sessions: dict[int, Session], settled: Settled, contiguous: bool
+        self,
+        records: Iterable[Record],
+        sessions: dict[int, Session],
+        settled: SettledCounts,
+        contiguous: bool,
     ) -> None:
+        """Adds records to `sessions` and `settled`. `contiguous` is for logs, where a missing version means
+        lost rows; a base holds only the last version of each row."""
         gaps = set()
         for record in records:
-            if isinstance(record, LifeRecord):
-                life = sessions.setdefault(record.id, Session(record.id, record.name))
-                life.closed = record.closed
+            if isinstance(record, SessionRecord):
+                session = sessions.setdefault(record.id, Session(record.id, record.name))
+                session.closed = record.closed
             elif isinstance(record, SettledRecord):
                 settled.sessions.update(record.sessions)
                 settled.rows.update({(tenant, cls): counts for tenant, cls, counts in record.rows})
-            elif isinstance(record, RowRecord) and record.life in sessions:
-                life = sessions[record.life]
+            elif isinstance(record, RowsRecord) and record.session in sessions:
+                session = sessions[record.session]
                 for row in record.rows:
-                    if row.version <= life.upto or record.life in gaps:
+                    if row.version <= session.version or record.session in gaps:
                         continue
-                    if contiguous and row.version != life.upto + 1:
-                        gaps.add(record.life)
+                    if contiguous and row.version != session.version + 1:
+                        gaps.add(record.session)
                         self.say(
-                            f"counts from version {life.upto + 1} of a former life are missing: "
+                            f"counts from version {session.version + 1} of a former session are missing: "
                             "what follows is left out"
                         )
                         continue
-                    life.put(row)
+                    session.put(row)
 
     # Writing
 
-    def begin(self, life: Session, tally: Tally) -> None:
-        """From now on count in this life; `OSError` if the folder cannot be written."""
+    def begin(self, session: Session, tally: Tally) -> None:
+        """Starts counting in a session. Raises `OSError` if the folder cannot be written."""
         self.files.make_folder(self.folder)
-        self.life, self.tally = life, tally
+        self.session, self.tally = session, tally
 
     def count(self, now: float, counted: Iterable[tuple[str, str, CountKind]]) -> None:
-        """Count messages by tenant, class and sort, and write it down by one write. An error is said and
-        kept: counts go on in memory."""
+        """Counts messages by tenant, class and kind, and appends them to the log in one write.
+
+        If that fails, the error is logged and kept in `incomplete_reason`, and counting goes on in memory.
+        """
         with self.lock:
             rows = tuple(
-                self.tally.count(now, tenant_key(tenant), cls, sort) for tenant, cls, sort in counted
+                self.tally.count(now, tenant_key(tenant), cls, kind) for tenant, cls, kind in counted
             )
             for row in rows:
-                self.rows.put(row)
-            if self.broken:
+                self.pending_rows.put(row)
+            if self.incomplete_reason:
                 return
             try:
-                self._append(frame(RowRecord(self.life.id, rows)))
+                self._append(encode_record(RowsRecord(self.session.id, rows)))
             except OSError as fault:
-                self._break(f"{fault}")
+                self._mark_incomplete(f"{fault}")
 
     def _append(self, data: bytes) -> None:
-        grown = round_to_blocks(self._size + len(data)) - round_to_blocks(self._size)
-        if grown and not self.space.claim(grown):
-            raise OSError("the folder has no room for them")
+        added_bytes = round_to_blocks(self._log_bytes + len(data)) - round_to_blocks(self._log_bytes)
+        if added_bytes and not self.space.claim(added_bytes):
+            raise OSError("no room left for counts in the state folder")
         try:
-            self.files.append_all(self._file, data)
-            self._size += len(data)
+            self.files.append_all(self._log_file, data)
+            self._log_bytes += len(data)
         finally:
-            if grown:
-                self.space.settle(grown, grown)
+            if added_bytes:
+                self.space.settle(added_bytes, added_bytes)
 
-    def _break(self, why: str) -> None:
-        if not self.broken:
-            self.say(f"counts are in memory only: {why}")
-        self.broken = why
+    def _mark_incomplete(self, reason: str) -> None:
+        if not self.incomplete_reason:
+            self.say(f"counts are in memory only: {reason}")
+        self.incomplete_reason = reason
 
     def needs_compaction(self) -> bool:
-        """Whether all should be written anew."""
-        return bool(self.broken) or self._size > LOG_MOST
+        """Whether the log is incomplete or too large."""
+        return bool(self.incomplete_reason) or self._log_bytes > MAX_LOG_BYTES
 
-    def compact(self, sessions: Iterable[Session], settled: Settled) -> bool:
-        """Begin the next log, and write a base of all before it; False, and said, if that fails.
+    def compact(self, sessions: Iterable[Session], settled: SettledCounts) -> bool:
+        """Begins the next log, and writes everything before it to a new base. Returns False if that fails,
+        after logging why.
 
-        `lives` are the former lives of this name. Counting waits only while the log is changed.
+        `sessions` are the former sessions of this name. Counting waits only while the log is changed.
         """
-        base, new = self.folder / "base", self.folder / "base.new"
-        old_number = self._number
+        base, new_base = self.folder / "base", self.folder / "base.new"
+        old_number = self._log_number
         try:
             with self.lock:
                 file = self.files.create(self.folder / f"log.{old_number + 1}")
-                if self._file is not None:
-                    self.files.close(self._file)
-                self._file, self._number, self._size = file, old_number + 1, 0
-                own = sorted(self.tally.rows.values(), key=lambda row: row.version)
-                present = LifeRecord(self.life.id, self.life.name, self.life.closed)
-                self._append(frame(present))
-                self.broken = ""
+                if self._log_file is not None:
+                    self.files.close(self._log_file)
+                self._log_file, self._log_number, self._log_bytes = file, old_number + 1, 0
+                own_rows = sorted(self.tally.rows.values(), key=lambda row: row.version)
+                present = SessionRecord(self.session.id, self.session.name, self.session.closed)
+                self._append(encode_record(present))
+                self.incomplete_reason = ""
             data = b"".join(
-                frame(r)
-                for r in [
-                    *(r for life in sessions for r in _records_of(life)),
+                encode_record(record)
+                for record in [
+                    *(record for session in sessions for record in _session_records(session)),
                     present,
-                    *_pieces(self.life.id, own),
-                    *_settled(settled),
-                    BaseRecord(old_number + 1),
+                    *_rows_records(self.session.id, own_rows),
+                    *_settled_records(settled),
+                    BaseEndRecord(old_number + 1),
                 ]
             )
-            self._write_base(new, data)
-            self.files.replace(new, base)
+            self._write_base(new_base, data)
+            self.files.replace(new_base, base)
         except OSError as fault:
             with self.lock:
-                self._break(f"{fault}")
+                self._mark_incomplete(f"{fault}")
             with suppress(OSError):
-                self.files.remove(new)
+                self.files.remove(new_base)
             return False
-        self.space.freed(round_to_blocks(self._base_size))
-        self._base_size = len(data)
+        self.space.freed(round_to_blocks(self._base_bytes))
+        self._base_bytes = len(data)
         for name in self.files.names(self.folder):
             if name.startswith("log.") and name[4:].isdigit() and int(name[4:]) <= old_number:
                 size = self.files.size(self.folder / name)
@@ -260,50 +269,54 @@
     def _write_base(self, path: Path, data: bytes) -> None:
         size = round_to_blocks(len(data))
         if not self.space.claim(size):
-            raise OSError("the folder has no room for them")
-        grown = 0
+            raise OSError("no room left for counts in the state folder")
+        written_bytes = 0
         try:
             file = self.files.create(path)
             try:
                 self.files.append_all(file, data)
-                grown = size
+                written_bytes = size
             finally:
                 self.files.close(file)
         finally:
-            self.space.settle(size, grown)
+            self.space.settle(size, written_bytes)
 
     def close(self) -> None:
-        """This life counts nothing more."""
+        """Ends the session: nothing more is counted in it."""
         with self.lock:
-            self.life.closed = True
-            if self.broken:
-                return  # there may be no log at all
+            self.session.closed = True
+            if self.incomplete_reason:
+                return  # there may be no log file at all
             try:
-                self._append(frame(LifeRecord(self.life.id, self.life.name, True)))
+                self._append(encode_record(SessionRecord(self.session.id, self.session.name, True)))
             except OSError as fault:
-                self._break(f"{fault}")
+                self._mark_incomplete(f"{fault}")
+
+    def renew(self, session: Session) -> None:
+        """Continues in another session, with the rows that the replicated state gave it.
 
-    def renew(self, life: Session) -> None:
-        """Go on in another life, whose rows are the replicated state's. Hold `lock`; write anew
-        afterwards."""
-        self.life, self.tally = life, Tally(self.tally.max_rows, life.rows)
-        self.broken = "a new life has begun"
+        The caller holds `lock`, and compacts afterwards.
+        """
+        self.session, self.tally = session, Tally(self.tally.max_rows, session.rows)
+        self.incomplete_reason = "a new session has started"
 
 
-def _pieces(life: int, rows: list[Row]) -> Iterable[RowRecord]:
-    for at in range(0, len(rows), PIECE):
-        yield RowRecord(life, tuple(rows[at : at + PIECE]))
+def _rows_records(session: int, rows: list[Row]) -> Iterable[RowsRecord]:
+    for at in range(0, len(rows), MAX_ITEMS_PER_RECORD):
+        yield RowsRecord(session, tuple(rows[at : at + MAX_ITEMS_PER_RECORD]))
 
 
-def _records_of(life: Session) -> Iterable[Record]:
-    yield LifeRecord(life.id, life.name, life.closed)
-    yield from _pieces(life.id, list(life.rows.values()))
+def _session_records(session: Session) -> Iterable[Record]:
+    yield SessionRecord(session.id, session.name, session.closed)
+    yield from _rows_records(session.id, list(session.rows.values()))
 
 
-def _settled(settled: Settled) -> Iterable[SettledRecord]:
+def _settled_records(settled: SettledCounts) -> Iterable[SettledRecord]:
     sessions, rows = (
         sorted(settled.sessions.items()),
         [(*key, counts) for key, counts in settled.rows.items()],
     )
-    for at in range(0, max(len(sessions), len(rows)), PIECE):
-        yield SettledRecord(tuple(sessions[at : at + PIECE]), tuple(rows[at : at + PIECE]))
+    for at in range(0, max(len(sessions), len(rows)), MAX_ITEMS_PER_RECORD):
+        yield SettledRecord(
+            tuple(sessions[at : at + MAX_ITEMS_PER_RECORD]), tuple(rows[at : at + MAX_ITEMS_PER_RECORD])
+        )
--- a/willownotch/usage/wire.py
+++ b/willownotch/usage/wire.py
@@ -1,4 +1,4 @@
-"""What instances say to each other of their counts. Plain values; bytes by msgspec's msgpack."""
+"""Messages that instances exchange about their counts: plain values, encoded as msgpack by msgspec."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import msgspec
 
-LIFE_BITS = 63  # of a random number that no two processes share
-COUNT_MOST = 2**63 - 1  # what the wire carries; a count stops there rather than begin anew
+SESSION_ID_BITS = 63  # enough random bits that no two processes draw the same id
+MAX_COUNT = 2**63 - 1  # the largest value on the wire; a count stops there instead of wrapping around
 
 
 class CountKind(IntEnum):
-    """What is counted, and the place of its figure in a row."""
+    """What is counted; the value is the position of the count in a row."""
 
     TAKEN = 0
     DELIVERED = 1
@@ -22,83 +22,89 @@
 
 
 Key = tuple[bytes, str]  # tenant, class
-Amount = Annotated[int, msgspec.Meta(ge=0, le=COUNT_MOST)]
-Counts = tuple[Amount, Amount, Amount, Amount, Amount]  # one for each sort
-NOTHING: Counts = (0,) * len(CountKind)
+Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
+Counts = tuple[Amount, Amount, Amount, Amount, Amount]  # one for each CountKind
+ZERO_COUNTS: Counts = (0,) * len(CountKind)
 
 
 def tenant_key(name: str) -> bytes:
-    """A tenant as rows have it, whatever bytes its name came as."""
+    """Returns a tenant's name as rows hold it; names that are not valid UTF-8 keep their bytes."""
     return name.encode("utf-8", "surrogateescape")
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One tenant and class of one life. `version` is the life's when it last changed; `peak` the most that
-    any of its counts grew in a second of late, in thousandths."""
+    """Counts of one tenant and class in one session.
+
+    `version` is the session's version at the row's last change. `peak_milli_per_s` is the most that any of
+    the counts grew in one recent second, in thousandths of a message a second.
+    """
 
     tenant: bytes
     cls: str
     version: Amount
     counts: Counts
-    peak: Amount = 0
+    peak_milli_per_s: Amount = 0
 
     @property
     def key(self) -> Key:
-        """What it counts."""
+        """The tenant and class that the row counts."""
         return self.tenant, self.cls
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
-    """All rows of a life that changed after version `after`, up to `upto`.
+class Delta(msgspec.Struct, frozen=True, array_like=True):
+    """All rows of a session that changed after `from_version`, up to and including `to_version`.
 
-    `age_ms` is how long ago, at the most, the life stood at `upto`; None if more of it is to follow.
+    `age_ms` bounds from above how long ago the session was at `to_version`; None if more deltas of the
+    session follow.
     """
 
-    life: Amount
+    session: Amount
     name: str
-    closed: bool  # its process is over: it counts nothing more
-    after: Amount
-    upto: Amount
+    closed: bool  # the process has ended and counts nothing more
+    from_version: Amount
+    to_version: Amount
     age_ms: Amount | None
     rows: tuple[Row, ...] = ()
 
 
-class Chunk(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of a settled part: lives folded into it with the version each was folded at, and rows."""
+class SettledChunk(msgspec.Struct, frozen=True, array_like=True):
+    """A piece of an instance's settled counts: folded sessions, each with its version when it was folded,
+    and summed rows."""
 
     digest: Amount
-    at: Amount  # place of the first item
-    total: Amount  # items in all
+    first_index: Amount  # position of the chunk's first item
+    total_items: Amount
     sessions: tuple[tuple[Amount, Amount], ...] = ()
     rows: tuple[tuple[bytes, str, Counts], ...] = ()
 
 
-class Ask(msgspec.Struct, tag=33, frozen=True, array_like=True):
-    """What is newer than this? `held` are all lives between `low` and `high` with the versions held of them.
+class DeltaRequest(msgspec.Struct, tag=33, frozen=True, array_like=True):
+    """Asks for everything newer than `versions`: all sessions with ids from `first_id` to `last_id` that the
+    requester holds, and the version that it holds of each.
 
-    `stamp` is a time on the asker's own clock, and comes back unread.
+    `sent_at_us` is a time on the requester's own clock. The reply returns it unchanged; nobody else reads it.
     """
 
     source: str
-    life: Amount
-    stamp: int
-    low: Amount
-    high: Amount
-    held: tuple[tuple[Amount, Amount], ...] = ()
-    settled: Amount = 0  # digest of its settled part
-    candidate: tuple[Amount, Amount] = (0, 0)  # another settled part, and how many items of it are there
+    session: Amount
+    sent_at_us: int
+    first_id: Amount
+    last_id: Amount
+    versions: tuple[tuple[Amount, Amount], ...] = ()
+    settled_digest: Amount = 0  # digest of the requester's settled counts
+    incoming: tuple[Amount, Amount] = (0, 0)  # other settled counts in transfer: digest, items received
 
 
-class Tell(msgspec.Struct, tag=34, frozen=True, array_like=True):
-    """An answer to an ask, or a part of it."""
+class DeltaReply(msgspec.Struct, tag=34, frozen=True, array_like=True):
+    """One datagram of the reply to a `DeltaRequest`."""
 
     source: str
-    life: Amount  # of the asker
-    stamp: int  # of its ask
-    parts: tuple[Part, ...] = ()
-    chunk: Chunk | None = None
+    session: Amount  # the requester's
+    sent_at_us: int  # of the request
+    deltas: tuple[Delta, ...] = ()
+    chunk: SettledChunk | None = None
 
 
-Message = Ask | Tell
+Message = DeltaRequest | DeltaReply
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
