--- a/willownotch/peers/core.py
+++ b/willownotch/peers/core.py
@@ -1,13 +1,14 @@
-"""The membership protocol as a state machine: a time and messages in, messages and news out. No I/O, no
-clock.
+"""The membership protocol as a state machine: takes times and messages, returns messages and events. It does
+no I/O and reads no clock.
 
-After SWIM (Das, Gupta, Motivala, 2002): probe, indirect probe, suspicion, incarnations, rumours on the
-probes' back. With the refinements of Lifeguard (Dadgar, Phillips, Currey, 2017): a member that hears little
-stretches its own spans before it blames others (local health), suspicion lasts longer while nobody else
-shares it, and who is suspected is told so by the next probe. Two things are added so that a healed partition
-needs no operator: whole states are exchanged now and then, and the dead are tried again.
+The protocol is SWIM (Das, Gupta, Motivala, 2002): probes, indirect probes, suspicion, incarnation numbers,
+and rumours piggybacked on the probes. Three refinements come from Lifeguard (Dadgar, Phillips, Currey, 2017):
+a member that receives few answers lengthens its own timeouts before it suspects others (local health); a
+suspicion lasts longer while no other member confirms it; and a probe tells a suspected member that it is
+suspected. Two additions let a healed partition recover without an operator: members exchange their full
+states from time to time, and dead members are contacted again.
 
-Times are seconds on the caller's clock, which need agree with nobody else's and must not step back.
+Times are seconds on the caller's clock. It must not step back; it need not agree with any other clock.
 """
 
 from __future__ import annotations
@@ -24,33 +25,33 @@
 from willownotch.peers.settings import PeersSettings
 from willownotch.peers.wire import Ack, Address, Message, Nack, Ping, PingRequest, Rumour, State, Sync, encode
 
-MAX_MESSAGE_BYTES = 1200  # bytes of a message at the most, what the transport adds not counted
-NACK_SHARE = 0.8  # of the patience, after which who was asked says that it heard nothing
+MAX_MESSAGE_BYTES = 1200  # without the header and the tag that the transport adds
+NACK_SHARE = 0.8  # of the probe timeout; an indirect probe without an answer by then is reported by a Nack
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message for an address."""
+    """A message to be sent to an address."""
 
     address: Address
     message: Message
 
 
 class Change(Enum):
-    """What became of a member."""
+    """What changed about a member."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
-    TRUSTED = "trusted"  # again
+    TRUSTED = "trusted"  # no longer suspected
     DIED = "died"
     LEFT = "left"
     CONFLICT = "conflict"  # another process claims its name
-    MOVED = "moved"  # the same member at another address
+    MOVED = "moved"  # same process, other address
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A change, and why."""
+    """A change of one member and its reason, for the log."""
 
     name: str
     change: Change
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is held of another member. `since` is when it came to its state here."""
+    """What this member knows of another one. `since` is when it recorded the present state."""
 
     name: str
     address: Address
@@ -71,38 +72,38 @@
     state: State
     since: float
     why: str
-    heard_at: float | None = None  # a message of its own came
-    blamers: set[str] = field(default_factory=set)  # who suspect it
+    heard_at: float | None = None  # time of its last direct message
+    suspected_by: set[str] = field(default_factory=set)  # names of the members that suspect it
 
-    def rumour(self, by: str) -> Rumour:
-        """What is held of it, as it is passed on."""
+    def to_rumour(self, by: str) -> Rumour:
+        """The present state as a rumour reported by `by`."""
         return Rumour(self.name, self.state, self.incarnation, self.uid, *self.address, by)
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that is out."""
+    """A probe that has not been answered yet."""
 
     name: str
     sequence: int
-    began: float
+    started_at: float
     indirect: bool = False
-    nacks_wanted: int = 0
+    nacks_expected: int = 0
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class Relayed:
-    """A probe made for another member."""
+class IndirectProbe:
+    """A probe made on behalf of another member."""
 
-    sequence: int  # of the one who asked
-    address: Address  # of the same
+    sequence: int  # the requester's own number for it
+    address: Address  # of the requester
 
 
 class Membership:
-    """One member's view of all. Feed it by `start`, `tick` and `receive`; each returns what is to be done.
+    """One member's view of all members. `start`, `tick` and `receive` feed it and return the actions to take.
 
-    `uid` differs for each process that ever takes the name; `random` is its own.
+    `uid` must differ for each process that ever runs under the name. `random` must not be shared.
     """
 
     def __init__(
@@ -117,307 +118,320 @@
         self.name, self.address, self.uid, self.incarnation = name, address, uid, incarnation
         self.settings, self.random = settings, random
         self.members: dict[str, Member] = {}
-        self.health = 0  # 0 is well; each step stretches this member's own spans once more
+        self.health = 0  # 0 is healthy; this member's timeouts are multiplied by health + 1
         self.leaving = False
         self.seeds: tuple[Address, ...] = ()
         self._rumours = Rumours()
         self._actions: list[Action] = []
         self._timers: list[tuple[float, int, str, object]] = []
-        self._count = itertools.count(1)
-        self._order: list[str] = []  # those still to be probed in this round
+        self._numbers = itertools.count(1)
+        self._probe_round: list[str] = []  # names still to be probed in this round
         self._probes: dict[int, Probe] = {}
-        self._relayed: dict[int, Relayed] = {}
-        self._size = 1  # members that are there, this one counted
+        self._indirect_probes: dict[int, IndirectProbe] = {}
+        self._alive_count = 1  # alive and suspected members, this one included
         self.now = 0.0
 
-    # What is asked of it
+    # Queries
 
     def alive(self) -> list[Member]:
-        """The others that are taken to be there, suspects among them."""
+        """The other members that are alive or suspected."""
         return [m for m in self.members.values() if m.state <= State.SUSPECT]
 
     def size(self) -> int:
-        """Members that are there, this one counted."""
-        return self._size
+        """The number of members that are alive or suspected, this one included."""
+        return self._alive_count
 
-    # What is fed to it
+    # Inputs
 
     def start(self, now: float, seeds: Iterable[Address] = ()) -> list[Action]:
-        """Join by the seeds, and begin to probe. Seeds are tried again for as long as nobody is known."""
+        """Joins through the seeds and starts probing. Seeds are retried until another member is known."""
         self.now, self.seeds = now, tuple(s for s in seeds if s != self.address)
-        self._say(self._own())
-        self._after(self.random.uniform(0, self._period()), "probe")
-        self._after(0.0, "seeds")
-        self._after(self.settings.gossip.total_seconds(), "gossip")
-        self._after(self.random.uniform(0.5, 1.5) * self.settings.sync.total_seconds(), "sync")
-        self._after(self.settings.rejoin.total_seconds(), "rejoin")
+        self._spread(self._alive_rumour())
+        self._set_timer(self.random.uniform(0, self._period()), "probe")
+        self._set_timer(0.0, "seeds")
+        self._set_timer(self.settings.gossip.total_seconds(), "gossip")
+        self._set_timer(self.random.uniform(0.5, 1.5) * self.settings.sync.total_seconds(), "sync")
+        self._set_timer(self.settings.rejoin.total_seconds(), "rejoin")
         return self.tick(now)
 
     def leave(self, now: float) -> list[Action]:
-        """Say that this member goes: the others need not find out."""
+        """Announces that this member leaves, so that the others need no failure detection."""
         self.now, self.leaving = max(self.now, now), True
-        gone = Rumour(self.name, State.LEFT, self.incarnation, self.uid, *self.address, self.name)
-        self._say(gone)
-        told = self._some(len(self.members), lambda m: m.state <= State.SUSPECT)
-        for member in told[: max(3, self.settings.retransmit)]:
-            self._send(member.address, Sync(self.name, False, (gone,)))
-        return self._done()
+        departure = Rumour(self.name, State.LEFT, self.incarnation, self.uid, *self.address, self.name)
+        self._spread(departure)
+        receivers = self._sample(len(self.members), lambda m: m.state <= State.SUSPECT)
+        for member in receivers[: max(3, self.settings.retransmit)]:
+            self._send(member.address, Sync(self.name, False, (departure,)))
+        return self._take_actions()
 
     def tick(self, now: float) -> list[Action]:
-        """Let time pass. Call it at `due()` or sooner."""
+        """Runs the timers that are due. To be called no later than `due()`."""
         self.now = max(self.now, now)
         while self._timers and self._timers[0][0] <= self.now:
-            _, _, kind, what = heapq.heappop(self._timers)
-            getattr(self, f"_on_{kind}")(what)
-        return self._done()
+            _, _, kind, argument = heapq.heappop(self._timers)
+            getattr(self, f"_on_{kind}")(argument)
+        return self._take_actions()
 
     def due(self) -> float | None:
-        """When the next tick is wanted."""
+        """The time by which `tick` has to be called; None without timers."""
         return self._timers[0][0] if self._timers else None
 
     def receive(self, now: float, address: Address, message: Message) -> list[Action]:
-        """A message of another member, found authentic by the transport."""
+        """Handles a message of another member that the transport has authenticated."""
         self.now = max(self.now, now)
         if not self.leaving:
             for rumour in getattr(message, "rumours", ()):
-                self._hear(rumour)
+                self._apply(rumour)
             member = self.members.get(message.source)
             if member is not None:
                 member.heard_at = self.now
             if isinstance(message, Ping):
-                self._pinged(address, message)
+                self._handle_ping(address, message)
             elif isinstance(message, PingRequest):
-                self._asked(address, message)
+                self._handle_ping_request(address, message)
             elif isinstance(message, Ack):
-                self._acked(message)
+                self._handle_ack(message)
             elif isinstance(message, Nack):
                 probe = self._probes.get(message.sequence)
                 if probe is not None:
                     probe.nacks += 1
             elif message.wanted:
-                self._tell_all(address, wanted=False)
-        return self._done()
+                self._send_full_state(address, wanted=False)
+        return self._take_actions()
 
     # Probing
 
     def _period(self) -> float:
+        """Seconds between two probes, lengthened while this member is unhealthy."""
         return self.settings.period.total_seconds() * (self.health + 1)
 
     def _patience(self) -> float:
+        """Seconds that a direct probe waits for its answer, lengthened while this member is unhealthy."""
         return self.settings.patience.total_seconds() * (self.health + 1)
 
     def _on_probe(self, _: object) -> None:
-        """Probe the next member of the round: each is probed once before any is probed again."""
-        self._after(self._period(), "probe")
+        """Probes the next member of the round; each member is probed once before any is probed again."""
+        self._set_timer(self._period(), "probe")
         if self.leaving:
             return
-        while self._order or self._new_round():
-            member = self.members.get(self._order.pop())
+        while self._probe_round or self._new_round():
+            member = self.members.get(self._probe_round.pop())
             if member is not None and member.state <= State.SUSPECT:
                 self._probe(member)
                 return
 
     def _new_round(self) -> bool:
-        self._order = [m.name for m in self.alive()]
-        self.random.shuffle(self._order)
-        return bool(self._order)
+        """Starts a round in random order; False if there is no member to probe."""
+        self._probe_round = [m.name for m in self.alive()]
+        self.random.shuffle(self._probe_round)
+        return bool(self._probe_round)
 
     def _probe(self, member: Member) -> None:
-        sequence = next(self._count)
+        sequence = next(self._numbers)
         self._probes[sequence] = Probe(member.name, sequence, self.now)
         self._ping(member, sequence)
-        self._after(self._patience(), "unanswered", sequence)
-        self._after(self._period(), "missed", sequence)
+        self._set_timer(self._patience(), "unanswered", sequence)
+        self._set_timer(self._period(), "missed", sequence)
 
     def _ping(self, member: Member, sequence: int) -> None:
-        # Who is suspected hears of it first, so that it can say otherwise in its answer.
-        first = member.rumour(self.name) if member.state is State.SUSPECT else None
+        # A suspected member is told first of all, so that it can refute the suspicion in its answer.
+        first = member.to_rumour(self.name) if member.state is State.SUSPECT else None
         bare = Ping(sequence, member.name, self.name)
-        self._send(member.address, Ping(sequence, member.name, self.name, self._ride(bare, first)))
+        self._send(member.address, Ping(sequence, member.name, self.name, self._piggyback(bare, first)))
 
     def _on_unanswered(self, sequence: int) -> None:
-        """No answer in time: ask others to try, who may have a way where there is none from here."""
+        """Asks other members for indirect probes after a timeout: only the path from here may have failed."""
         probe = self._probes.get(sequence)
         member = self.members.get(probe.name) if probe else None
         if member is None:
             return
         probe.indirect = True
-        others = self._some(
+        others = self._sample(
             self.settings.indirect, lambda m: m.state is State.ALIVE and m.name != member.name
         )
         for other in others:
-            probe.nacks_wanted += 1
+            probe.nacks_expected += 1
             bare = PingRequest(sequence, member.name, *member.address, self.name)
             self._send(
                 other.address,
-                PingRequest(sequence, member.name, *member.address, self.name, self._ride(bare)),
+                PingRequest(sequence, member.name, *member.address, self.name, self._piggyback(bare)),
             )
 
     def _on_missed(self, sequence: int) -> None:
-        """Nor from anybody else. Who also misses the others' word that they tried may be cut off itself."""
+        """Suspects a member that answered neither directly nor indirectly by the end of the period.
+
+        Nacks that are missing as well lower this member's own health: it may be the one that is cut off.
+        """
         probe = self._probes.pop(sequence, None)
         member = self.members.get(probe.name) if probe else None
         if member is None:
             return
-        missing = probe.nacks_wanted - probe.nacks
-        self._feel(missing if probe.nacks_wanted else 1)
+        missing = probe.nacks_expected - probe.nacks
+        self._change_health(missing if probe.nacks_expected else 1)
         if member.state is State.ALIVE:
-            others = f" nor to {probe.nacks_wanted} others" if probe.nacks_wanted else ""
-            self._hear(
+            others = f" nor to {probe.nacks_expected} indirect ones" if probe.nacks_expected else ""
+            self._apply(
                 Rumour(
                     member.name, State.SUSPECT, member.incarnation, member.uid, *member.address, self.name
                 ),
                 f"no answer to a probe{others}",
             )
 
-    def _pinged(self, address: Address, ping: Ping) -> None:
+    def _handle_ping(self, address: Address, ping: Ping) -> None:
         if ping.name != self.name:
-            return  # meant for who had this address before
+            return  # for the process that had this address before
         bare = Ack(ping.sequence, self.name)
-        self._send(address, Ack(ping.sequence, self.name, self._ride(bare)))
-
-    def _asked(self, address: Address, ask: PingRequest) -> None:
-        sequence = next(self._count)
-        self._relayed[sequence] = Relayed(ask.sequence, address)
-        bare = Ping(sequence, ask.name, self.name)
-        self._send((ask.host, ask.port), Ping(sequence, ask.name, self.name, self._ride(bare)))
-        self._after(NACK_SHARE * self.settings.patience.total_seconds(), "unheard", sequence)
-        self._after(self.settings.period.total_seconds(), "forget", sequence)
+        self._send(address, Ack(ping.sequence, self.name, self._piggyback(bare)))
+
+    def _handle_ping_request(self, address: Address, request: PingRequest) -> None:
+        sequence = next(self._numbers)
+        self._indirect_probes[sequence] = IndirectProbe(request.sequence, address)
+        bare = Ping(sequence, request.name, self.name)
+        self._send(
+            (request.host, request.port), Ping(sequence, request.name, self.name, self._piggyback(bare))
+        )
+        self._set_timer(NACK_SHARE * self.settings.patience.total_seconds(), "unheard", sequence)
+        self._set_timer(self.settings.period.total_seconds(), "forget", sequence)
 
     def _on_unheard(self, sequence: int) -> None:
-        relayed = self._relayed.get(sequence)
-        if relayed is not None:
-            self._send(relayed.address, Nack(relayed.sequence, self.name))
+        """Sends the requester a Nack: this member is reachable, the probed one has not answered yet."""
+        indirect = self._indirect_probes.get(sequence)
+        if indirect is not None:
+            self._send(indirect.address, Nack(indirect.sequence, self.name))
 
     def _on_forget(self, sequence: int) -> None:
-        self._relayed.pop(sequence, None)
+        """Drops an indirect probe; a later answer is ignored."""
+        self._indirect_probes.pop(sequence, None)
 
-    def _acked(self, ack: Ack) -> None:
-        relayed = self._relayed.pop(ack.sequence, None)
-        if relayed is not None:
-            self._send(relayed.address, Ack(relayed.sequence, ack.source))
+    def _handle_ack(self, ack: Ack) -> None:
+        indirect = self._indirect_probes.pop(ack.sequence, None)
+        if indirect is not None:
+            self._send(indirect.address, Ack(indirect.sequence, ack.source))
             return
         probe = self._probes.get(ack.sequence)
         if probe is not None and probe.name == ack.source:
             del self._probes[ack.sequence]
-            self._feel(-1)
+            self._change_health(-1)
 
-    def _feel(self, worse: int) -> None:
+    def _change_health(self, worse: int) -> None:
         self.health = max(0, min(self.settings.health_most, self.health + worse))
 
     # Suspicion
 
-    def _suspicion(self, member: Member) -> float:
-        """How long it stays a suspect: from the longest span to the shortest as others come to suspect it."""
+    def _suspicion_timeout(self, member: Member) -> float:
+        """Seconds from suspicion to death; shrinks from the longest to the shortest as others confirm it."""
         shortest = self.settings.suspicion * max(1.0, log10(self.size())) * self._period()
         longest = self.settings.suspicion_most * shortest
         wanted = max(0, min(self.settings.indirect, self.size() - 2))
         if not wanted:
             return shortest
-        shared = log(len(member.blamers)) / log(wanted + 1) if member.blamers else 0.0
-        return max(shortest, longest - (longest - shortest) * shared)
+        confirmed = log(len(member.suspected_by)) / log(wanted + 1) if member.suspected_by else 0.0
+        return max(shortest, longest - (longest - shortest) * confirmed)
 
-    def _on_suspect(self, what: tuple[str, int]) -> None:
-        name, incarnation = what
+    def _on_suspect(self, suspicion: tuple[str, int]) -> None:
+        """Declares a member dead if the suspicion of this incarnation has lasted for its timeout."""
+        name, incarnation = suspicion
         member = self.members.get(name)
         if member is None or member.state is not State.SUSPECT or member.incarnation != incarnation:
             return
-        ends = member.since + self._suspicion(member)
+        ends = member.since + self._suspicion_timeout(member)
         if ends > self.now:
-            self._after(ends - self.now, "suspect", what)
+            self._set_timer(ends - self.now, "suspect", suspicion)
             return
-        self._hear(
+        self._apply(
             Rumour(name, State.DEAD, incarnation, member.uid, *member.address, self.name),
-            f"suspected by {len(member.blamers)} for {self.now - member.since:.1f} s and not refuted",
+            f"suspected by {len(member.suspected_by)} for {self.now - member.since:.1f} s and not refuted",
         )
 
     # Rumours
 
-    def _hear(self, rumour: Rumour, why: str | None = None) -> None:
-        """What is said of a member, by itself, by another or by this one."""
+    def _apply(self, rumour: Rumour, why: str | None = None) -> None:
+        """Applies a rumour, whether received or made here, if it is newer than what is known."""
         if rumour.name == self.name:
-            self._hear_of_self(rumour)
+            self._apply_to_self(rumour)
             return
-        why = why or f"{rumour.by} says so"
+        why = why or f"{rumour.by} reported it"
         member = self.members.get(rumour.name)
         if member is None:
-            self._meet(rumour, why)
+            self._add_member(rumour, why)
         elif rumour.uid != member.uid:
-            self._hear_of_namesake(member, rumour, why)
+            self._apply_other_process(member, rumour, why)
         elif (rumour.incarnation, rumour.state) > (member.incarnation, member.state):
-            self._change(member, rumour, why)
+            self._update_member(member, rumour, why)
         elif rumour.state is State.SUSPECT and rumour.incarnation < member.incarnation:
-            self._rumours.add(member.rumour(self.name))  # who says so missed what is known here
+            self._rumours.add(member.to_rumour(self.name))  # its sender lacks the newer incarnation
         elif rumour.state is State.SUSPECT is member.state and rumour.incarnation == member.incarnation:
-            self._share_suspicion(member, rumour)
+            self._confirm_suspicion(member, rumour)
 
-    def _share_suspicion(self, member: Member, rumour: Rumour) -> None:
-        """Another one suspects it, too: the more do, the sooner it is held for dead."""
-        if rumour.by not in member.blamers and len(member.blamers) <= self.settings.indirect:
-            member.blamers.add(rumour.by)
+    def _confirm_suspicion(self, member: Member, rumour: Rumour) -> None:
+        """Counts another member that suspects this one; each confirmation shortens the timeout."""
+        if rumour.by not in member.suspected_by and len(member.suspected_by) <= self.settings.indirect:
+            member.suspected_by.add(rumour.by)
             self._rumours.add(rumour)
             self._on_suspect((member.name, member.incarnation))
 
-    def _meet(self, rumour: Rumour, why: str) -> None:
+    def _add_member(self, rumour: Rumour, why: str) -> None:
         member = Member(
             rumour.name, rumour.address, rumour.uid, rumour.incarnation, rumour.state, self.now, why
         )
         former = self.members.get(rumour.name)
-        self._size += (member.state <= State.SUSPECT) - (former is not None and former.state <= State.SUSPECT)
+        self._alive_count += (member.state <= State.SUSPECT) - (
+            former is not None and former.state <= State.SUSPECT
+        )
         self.members[rumour.name] = member
         self._rumours.add(rumour)
         if rumour.state <= State.SUSPECT:
-            self._tell(member, Change.JOINED, why)
-            self._order.insert(self.random.randint(0, len(self._order)), member.name)
+            self._report(member, Change.JOINED, why)
+            self._probe_round.insert(self.random.randint(0, len(self._probe_round)), member.name)
         if rumour.state is State.SUSPECT:
             self._begin_suspicion(member, rumour)
 
-    def _change(self, member: Member, rumour: Rumour, why: str) -> None:
-        was, moved = member.state, rumour.address != member.address
-        self._size += (rumour.state <= State.SUSPECT) - (was <= State.SUSPECT)
+    def _update_member(self, member: Member, rumour: Rumour, why: str) -> None:
+        old_state, moved = member.state, rumour.address != member.address
+        self._alive_count += (rumour.state <= State.SUSPECT) - (old_state <= State.SUSPECT)
         member.incarnation, member.state, member.address = rumour.incarnation, rumour.state, rumour.address
         self._rumours.add(rumour)
         if moved:
-            self._tell(member, Change.MOVED, f"from {member.address}")
-        if was is member.state and was is not State.SUSPECT:
+            self._report(member, Change.MOVED, f"from {member.address}")
+        if old_state is member.state and old_state is not State.SUSPECT:
             return
         member.since, member.why = self.now, why
-        member.blamers.clear()
+        member.suspected_by.clear()
         if member.state is State.ALIVE:
-            self._tell(member, Change.TRUSTED if was is State.SUSPECT else Change.JOINED, why)
+            self._report(member, Change.TRUSTED if old_state is State.SUSPECT else Change.JOINED, why)
         elif member.state is State.SUSPECT:
             self._begin_suspicion(member, rumour)
-            self._tell(member, Change.SUSPECTED, why)
+            self._report(member, Change.SUSPECTED, why)
         else:
-            self._tell(member, Change.DIED if member.state is State.DEAD else Change.LEFT, why)
+            self._report(member, Change.DIED if member.state is State.DEAD else Change.LEFT, why)
 
     def _begin_suspicion(self, member: Member, rumour: Rumour) -> None:
-        member.blamers.add(rumour.by)
-        self._after(self._suspicion(member), "suspect", (member.name, member.incarnation))
+        member.suspected_by.add(rumour.by)
+        self._set_timer(self._suspicion_timeout(member), "suspect", (member.name, member.incarnation))
 
-    def _hear_of_namesake(self, member: Member, rumour: Rumour, why: str) -> None:
-        """Another process under a known name: its next one, or a second one that must not have it.
+    def _apply_other_process(self, member: Member, rumour: Rumour, why: str) -> None:
+        """Handles a known name under another uid: a restart, or a second process with the same name.
 
-        A name is its first holder's until that one is gone; of two that are both held to be there the lower
-        uid has it, everywhere alike.
+        The name stays with its first process until that one is gone. If both appear alive, the lower uid
+        gets the name, so that all members decide alike.
         """
         if rumour.state > State.SUSPECT:
-            return  # a rumour of one that is not known here any more
+            return  # about an earlier process that is no longer known here
         if member.state > State.SUSPECT or rumour.address == member.address:
-            # It was gone, or its place has been taken: an address is one process's at a time.
-            self._size -= member.state <= State.SUSPECT
+            # The known process is gone: an address belongs to one process at a time.
+            self._alive_count -= member.state <= State.SUSPECT
             member.uid, member.state, member.incarnation = rumour.uid, State.DEAD, -1
-            self._change(member, rumour, why)
+            self._update_member(member, rumour, why)
             return
-        self._tell(member, Change.CONFLICT, f"{rumour.address} claims its name, {member.address} has it")
+        self._report(member, Change.CONFLICT, f"{rumour.address} claims its name, {member.address} has it")
         if rumour.uid < member.uid:
             member.uid, member.incarnation = rumour.uid, -1
-            self._change(member, rumour, why)
+            self._update_member(member, rumour, why)
 
-    def _hear_of_self(self, rumour: Rumour) -> None:
-        """What is said of this member is contradicted where it is wrong, by a higher incarnation."""
+    def _apply_to_self(self, rumour: Rumour) -> None:
+        """Refutes a wrong rumour about this member by a higher incarnation."""
         if rumour.uid != self.uid:
-            # A former process of this name, or a second one. Spoken of as there: it has to be outlived.
+            # About an earlier process of this name, or a second one. Only one that appears alive matters.
             if rumour.state <= State.SUSPECT and rumour.address != self.address:
                 self._actions.append(
                     MembershipEvent(self.name, Change.CONFLICT, f"{rumour.address} claims this name")
@@ -427,80 +441,84 @@
             return
         if rumour.incarnation >= self.incarnation:
             self.incarnation = rumour.incarnation + 1
-            self._feel(1)
-        # Said again, too, where an older suspicion shows that the last refutation was lost on its way.
-        self._say(self._own())
+            self._change_health(1)
+        # An older suspicion is answered as well: it shows that the last refutation was lost.
+        self._spread(self._alive_rumour())
 
     def own_rumour(self) -> Rumour:
-        """What this member says of itself."""
-        return self._own()
+        """The rumour by which this member says that it is alive."""
+        return self._alive_rumour()
 
     def forget_rumours(self) -> None:
-        """Pass nothing on of what has been heard so far."""
+        """Stops passing on the rumours received so far."""
         self._rumours = Rumours()
 
-    def _own(self) -> Rumour:
+    def _alive_rumour(self) -> Rumour:
         return Rumour(self.name, State.ALIVE, self.incarnation, self.uid, *self.address, self.name)
 
-    def _say(self, rumour: Rumour) -> None:
+    def _spread(self, rumour: Rumour) -> None:
         self._rumours.add(rumour)
 
-    def _ride(self, bare: Message, first: Rumour | None = None) -> tuple[Rumour, ...]:
+    def _piggyback(self, bare: Message, first: Rumour | None = None) -> tuple[Rumour, ...]:
+        """The rumours that fit into this message, `first` among them in any case."""
         room = MAX_MESSAGE_BYTES - len(encode(bare)) - 8
         return self._rumours.take(room, max_transmissions(self.size(), self.settings.retransmit), first)
 
     def _on_gossip(self, _: object) -> None:
-        """Pass fresh rumours on, also where probes are slow: a refutation must be there before a suspect is
-        dead."""
-        self._after(self.settings.gossip.total_seconds(), "gossip")
+        """Sends rumours without waiting for the next probe: a refutation must arrive before the suspect is
+        declared dead, even where probes are slow."""
+        self._set_timer(self.settings.gossip.total_seconds(), "gossip")
         if not len(self._rumours):
             return
         bare = Sync(self.name, False)
-        for member in self._some(self.settings.fanout, lambda m: m.state <= State.SUSPECT):
-            if riding := self._ride(bare):
-                self._send(member.address, Sync(self.name, False, riding))
+        for member in self._sample(self.settings.fanout, lambda m: m.state <= State.SUSPECT):
+            if rumours := self._piggyback(bare):
+                self._send(member.address, Sync(self.name, False, rumours))
 
-    # Whole states
+    # Exchange of full states
 
     def _on_seeds(self, _: object) -> None:
-        """Ask the seeds for all they know, until somebody is known."""
+        """Asks the seeds for their full state until another member is known."""
         if self.leaving or any(m.state <= State.SUSPECT for m in self.members.values()):
             return
         for seed in self.seeds:
-            self._tell_all(seed, wanted=True)
+            self._send_full_state(seed, wanted=True)
         if self.seeds:
-            self._after(self._period(), "seeds")
+            self._set_timer(self._period(), "seeds")
 
     def _on_sync(self, _: object) -> None:
-        """Exchange whole states with one member, lest what every rumour missed stay unknown."""
-        self._after(self.random.uniform(0.5, 1.5) * self.settings.sync.total_seconds(), "sync")
-        for member in self._some(1, lambda m: m.state is State.ALIVE):
-            self._tell_all(member.address, wanted=True)
+        """Exchanges full states with one member, which recovers what no rumour delivered."""
+        self._set_timer(self.random.uniform(0.5, 1.5) * self.settings.sync.total_seconds(), "sync")
+        for member in self._sample(1, lambda m: m.state is State.ALIVE):
+            self._send_full_state(member.address, wanted=True)
 
     def _on_rejoin(self, _: object) -> None:
-        """Try one of the dead, and a seed that nobody has: a partition that has healed shows by their
-        answer."""
-        self._after(self.settings.rejoin.total_seconds(), "rejoin")
+        """Contacts one dead member and one seed that is not a known member: an answer shows that a partition
+        has healed. Also removes members that have been gone for longer than `remember`."""
+        self._set_timer(self.settings.rejoin.total_seconds(), "rejoin")
         if self.leaving:
             return
-        for member in self._some(1, lambda m: m.state is State.DEAD):
-            self._tell_all(member.address, wanted=True)
+        for member in self._sample(1, lambda m: m.state is State.DEAD):
+            self._send_full_state(member.address, wanted=True)
         known = {m.address for m in self.alive()}
         missing = [seed for seed in self.seeds if seed not in known]
         if missing:
-            self._tell_all(self.random.choice(missing), wanted=True)
-        kept = self.settings.remember.total_seconds()
+            self._send_full_state(self.random.choice(missing), wanted=True)
+        remember_s = self.settings.remember.total_seconds()
         for member in [m for m in self.members.values() if m.state > State.SUSPECT]:
-            if self.now - member.since > kept:
+            if self.now - member.since > remember_s:
                 del self.members[member.name]
 
-    def _tell_all(self, address: Address, wanted: bool) -> None:
-        """All that is known, in pieces of one datagram each; only the first asks for the other's."""
-        part: list[Rumour] = [self._own()]
+    def _send_full_state(self, address: Address, wanted: bool) -> None:
+        """Sends all known members, split into messages of one datagram each.
+
+        With `wanted`, the first of them asks the receiver for its own full state.
+        """
+        part: list[Rumour] = [self._alive_rumour()]
         room = MAX_MESSAGE_BYTES - len(encode(Sync(self.name, wanted, ()))) - 8
         left = room - len(encode(part[0]))
         for member in self.members.values():
-            rumour = member.rumour(self.name)
+            rumour = member.to_rumour(self.name)
             size = len(encode(rumour))
             if size > left:
                 self._send(address, Sync(self.name, wanted, tuple(part)))
@@ -509,21 +527,23 @@
             left -= size
         self._send(address, Sync(self.name, wanted, tuple(part)))
 
-    # Small things
+    # Helpers
 
-    def _some(self, most: int, wanted) -> list[Member]:
-        found = [m for m in self.members.values() if wanted(m)]
-        return self.random.sample(found, min(most, len(found)))
+    def _sample(self, count: int, matches) -> list[Member]:
+        """Up to `count` members that match, chosen at random."""
+        found = [m for m in self.members.values() if matches(m)]
+        return self.random.sample(found, min(count, len(found)))
 
-    def _after(self, span: float, kind: str, what: object = None) -> None:
-        heapq.heappush(self._timers, (self.now + span, next(self._count), kind, what))
+    def _set_timer(self, delay_s: float, kind: str, argument: object = None) -> None:
+        """Calls `_on_<kind>(argument)` after `delay_s`."""
+        heapq.heappush(self._timers, (self.now + delay_s, next(self._numbers), kind, argument))
 
     def _send(self, address: Address, message: Message) -> None:
         self._actions.append(Send(address, message))
 
-    def _tell(self, member: Member, change: Change, why: str) -> None:
+    def _report(self, member: Member, change: Change, why: str) -> None:
         self._actions.append(MembershipEvent(member.name, change, why))
 
-    def _done(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
