--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Membership in simulated time under loss, partitions and returns; datagrams, and what is refused."""
+"""Membership in simulated time under loss, partitions and restarts; datagram authentication and limits."""
 
 import secrets
 import socket
@@ -13,7 +13,7 @@
 from willownotch.peers.lossy import Conditions, Network
 from willownotch.peers.node import Node
 from willownotch.peers.rumours import Rumours, max_transmissions
-from willownotch.peers.seal import KeysError, Seal, Seen, read_keys
+from willownotch.peers.seal import KeysError, ReplayWindow, Seal, read_keys
 from willownotch.peers.settings import PeersSettings
 from willownotch.peers.transport import Budget, UdpTransport
 from willownotch.peers.wire import Ping, Rumour, State, Sync, decode, encode
@@ -22,8 +22,8 @@
 ALL = set(NAMES)
 
 
-def joined(seed=1, conditions=None, names=NAMES, most=120.0):
-    """A network whose members all know each other, from one seed member."""
+def joined_network(seed=1, conditions=None, names=NAMES, most=120.0):
+    """A network whose members all know each other after joining through one seed member."""
     net = Network(seed, conditions)
     for name in names:
         net.add(name, (names[0],) if name != names[0] else ())
@@ -32,7 +32,8 @@
     return net
 
 
-def deaths(net):
+def reported_deaths(net):
+    """Pairs of observing and dead member."""
     return [(who, news.name) for _, who, news in net.news if news.change is Change.DIED]
 
 
@@ -46,36 +47,36 @@
         (0.3, 0.05, 0.1),
     ],
 )
-def test_members_find_each_other_and_learn_of_a_death_and_a_return(loss, delay, repeat):
-    net = joined(conditions=Conditions(loss, delay, 0.05, repeat))
+def test_members_discover_each_other_and_detect_a_death_and_a_return(loss, delay, repeat):
+    net = joined_network(conditions=Conditions(loss, delay, 0.05, repeat))
     net.kill("m3")
     net.until(lambda: net.all_know(ALL - {"m3"}), 120)
-    assert {name for _, name in deaths(net)} == {"m3"}  # and of nobody else
+    assert {name for _, name in reported_deaths(net)} == {"m3"}  # and no other
     net.add("m3", ("m0",))
     net.until(lambda: net.all_know(ALL), 120)
 
 
-def test_nobody_is_blamed_on_a_sound_network():
-    net = joined()
+def test_no_member_is_suspected_on_a_network_without_faults():
+    net = joined_network()
     net.run(net.now + 300)
     assert net.news == []
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.2, 0.3])
-def test_nobody_dies_of_loss_alone(loss):
-    net = joined(conditions=Conditions(loss=loss))
+def test_loss_alone_makes_no_member_dead(loss):
+    net = joined_network(conditions=Conditions(loss=loss))
     net.run(net.now + 120)
-    assert deaths(net) == []
+    assert reported_deaths(net) == []
 
 
-def test_half_of_all_lost_and_they_still_find_each_other():
-    net = joined(conditions=Conditions(loss=0.5), most=300)
+def test_members_discover_each_other_with_half_of_the_datagrams_lost():
+    net = joined_network(conditions=Conditions(loss=0.5), most=300)
     net.conditions.loss = 0.0
     net.until(lambda: net.all_know(ALL), 120)
 
 
 def test_a_partition_into_halves_heals_by_itself():
-    net, half = joined(), set(NAMES[:4])
+    net, half = joined_network(), set(NAMES[:4])
     net.conditions.cut = lambda a, b: (a in half) != (b in half)
     net.until(
         lambda: all(
@@ -89,17 +90,17 @@
     net.until(lambda: net.all_know(ALL), 120)
 
 
-def test_a_one_way_link_is_gone_round():
-    """m1 hears m2 and cannot be heard by it: the others ask for it."""
-    net = joined()
+def test_indirect_probes_bypass_a_link_that_is_cut_one_way():
+    """m1 receives from m2, but nothing from m1 reaches m2; the other members probe on their behalf."""
+    net = joined_network()
     net.conditions.cut = lambda a, b: (a, b) == ("m1", "m2")
     net.run(net.now + 120)
-    assert deaths(net) == []
+    assert reported_deaths(net) == []
 
 
-def test_who_is_cut_off_blames_itself_before_others():
-    """It hears nothing and takes its spans longer, so it declares the others dead later than they do it."""
-    net = joined()
+def test_an_isolated_member_lowers_its_own_health_first():
+    """It receives nothing and lengthens its timeouts, so its verdicts on others come late."""
+    net = joined_network()
     net.conditions.cut = lambda a, b: "m5" in (a, b)
     net.until(
         lambda: net.all_know(ALL - {"m5"})
@@ -107,11 +108,11 @@
         120,
     )
     assert net.members["m5"].health > 0
-    assert len([1 for who, _ in deaths(net) if who == "m5"]) < 7
+    assert len([1 for who, _ in reported_deaths(net) if who == "m5"]) < 7
 
 
-def test_who_leaves_is_known_to_have_left():
-    net = joined()
+def test_a_member_that_leaves_is_recorded_as_left():
+    net = joined_network()
     net._carry("m2", net.members["m2"].leave(net.now))
     net.run(net.now + 0.5)
     net.kill("m2")
@@ -123,9 +124,9 @@
     net.until(lambda: net.all_know(ALL), 60)
 
 
-def test_a_quick_restart_is_the_same_name_with_a_new_process():
-    """Back before anybody missed it, with nothing in hand and an incarnation of 0."""
-    net = joined(conditions=Conditions(loss=0.1))
+def test_a_quick_restart_replaces_the_process_under_the_same_name():
+    """It restarts before its end was detected, without stored state and with incarnation 0."""
+    net = joined_network(conditions=Conditions(loss=0.1))
     for _ in range(3):
         back = net.add("m3", ("m0",))
         net.until(
@@ -135,16 +136,16 @@
         net.until(lambda: net.all_know(ALL), 60)
 
 
-def test_two_that_claim_one_name_are_told_and_one_has_it_everywhere():
-    net = joined()
+def test_of_two_processes_with_one_name_all_members_choose_the_same_and_report_a_conflict():
+    net = joined_network()
     first = net.members["m4"]
     second = net.add("other", ("m0",), claims="m4", uid=first.uid - 1)
     net.until(lambda: all(net.members[n].members["m4"].uid == second.uid for n in NAMES if n != "m4"), 60)
     assert net.count(Change.CONFLICT) > 0
 
 
-def test_two_halves_find_each_other_though_their_only_seed_is_gone_for_good():
-    net = joined(names=NAMES[:3])
+def test_a_partition_heals_although_the_only_seed_is_dead():
+    net = joined_network(names=NAMES[:3])
     net.kill("m0")
     net.conditions.cut = lambda a, b: {a, b} == {"m1", "m2"}
     net.until(lambda: all(not net.members[n].alive() for n in ("m1", "m2")), 600)
@@ -153,7 +154,7 @@
 
 
 @pytest.mark.parametrize("offset", [-5.0, 5.0, 1e6])
-def test_clocks_need_not_agree(offset):
+def test_clocks_may_differ(offset):
     net = Network(2)
     for n, name in enumerate(NAMES):
         net.add(name, ("m0",) if n else (), offset=offset if n % 2 else 0.0)
@@ -162,22 +163,22 @@
     net.until(lambda: net.all_know(ALL - {"m3"}), 60)
 
 
-def test_the_same_seed_tells_the_same_story():
-    stories = []
+def test_the_same_seed_gives_the_same_run():
+    runs = []
     for _ in range(2):
-        net = joined(seed=7, conditions=Conditions(loss=0.3))
+        net = joined_network(seed=7, conditions=Conditions(loss=0.3))
         net.run(net.now + 30)
-        stories.append([(at, who, news) for at, who, news in net.news])
-    assert stories[0] == stories[1] != []
+        runs.append([(at, who, news) for at, who, news in net.news])
+    assert runs[0] == runs[1] != []
 
 
-def test_every_state_tells_why():
-    net = joined()
+def test_every_state_has_a_reason():
+    net = joined_network()
     net.kill("m3")
     net.until(lambda: net.all_know(ALL - {"m3"}), 60)
-    whys = {net.members[n].members["m3"].why for n in NAMES if n != "m3"}
-    assert any("not refuted" in why for why in whys)
-    assert all(why for why in whys)
+    reasons = {net.members[n].members["m3"].why for n in NAMES if n != "m3"}
+    assert any("not refuted" in reason for reason in reasons)
+    assert all(reason for reason in reasons)
 
 
 # Rumours
@@ -187,31 +188,31 @@
     return Rumour(name, state, incarnation, 1, "10.0.0.1", 1, "x")
 
 
-def test_each_rumour_rides_so_often_and_a_newer_one_takes_its_place():
+def test_a_rumour_is_sent_a_fixed_number_of_times_and_replaced_by_a_newer_one():
     rumours = Rumours()
     rumours.add(rumour("a"))
     rumours.add(rumour("b"))
     rumours.add(rumour("a", 1))
-    ridden = [r for _ in range(10) for r in rumours.take(1000, 3)]
-    assert sorted((r.name, r.incarnation) for r in ridden) == [("a", 1)] * 3 + [("b", 0)] * 3
+    sent = [r for _ in range(10) for r in rumours.take(1000, 3)]
+    assert sorted((r.name, r.incarnation) for r in sent) == [("a", 1)] * 3 + [("b", 0)] * 3
     assert len(rumours) == 0
 
 
-@pytest.mark.parametrize(("members", "often"), [(1, 4), (9, 4), (10, 8), (99, 8), (1000, 16)])
-def test_how_often_grows_with_the_logarithm(members, often):
-    assert max_transmissions(members, 4) == often
+@pytest.mark.parametrize(("members", "times"), [(1, 4), (9, 4), (10, 8), (99, 8), (1000, 16)])
+def test_the_number_of_transmissions_grows_with_the_logarithm_of_the_members(members, times):
+    assert max_transmissions(members, 4) == times
 
 
 @given(st.lists(st.tuples(st.text(max_size=60), st.integers(0, 2**40)), max_size=200))
-def test_what_rides_fits(named):
+def test_piggybacked_rumours_stay_within_the_room(drawn):
     rumours = Rumours()
-    for name, incarnation in named:
+    for name, incarnation in drawn:
         rumours.add(rumour(name, incarnation))
     assert sum(len(encode(r)) for r in rumours.take(500, 3)) <= 500
 
 
-def test_no_message_outgrows_a_datagram():
-    """A whole state of 300 members goes over in pieces."""
+def test_no_message_exceeds_a_datagram():
+    """The full state of 300 members is sent in several messages."""
     member = Membership("me", ("10.0.0.1", 1), 1, PeersSettings(), Random(1))
     member.start(0.0)
     whole = tuple(rumour(f"member-{n:04}") for n in range(300))
@@ -235,13 +236,13 @@
         max_size=30,
     )
 )
-def test_no_rumour_can_make_a_member_think_itself_gone_or_step_back(said):
-    """Whatever is told, a member's incarnation and those that it holds of one process never fall."""
+def test_rumours_neither_kill_their_receiver_nor_lower_an_incarnation(drawn):
+    """Whatever rumours come, a member's own incarnation and those that it knows of one process never fall."""
     member = Membership("me", ("10.0.0.1", 1), 1, PeersSettings(), Random(1))
     member.start(0.0)
-    for at, (name, state, incarnation, uid) in enumerate(said):
+    for at, (name, state, incarnation, uid) in enumerate(drawn):
         before, own = dict((n, (m.uid, m.incarnation)) for n, m in member.members.items()), member.incarnation
-        news = member.receive(
+        actions = member.receive(
             float(at) / 100,
             ("10.0.0.1", 2),
             Sync("a", False, (Rumour(name, state, incarnation, uid, "10.0.0.1", uid, "b"),)),
@@ -250,9 +251,9 @@
         if name == "me" and uid == 1 and state is not State.ALIVE:
             assert member.incarnation > incarnation
         for other, (old_uid, old) in before.items():
-            held = member.members[other]
-            assert held.uid != old_uid or held.incarnation >= old
-        assert all(isinstance(n, MembershipEvent | Send) for n in news)
+            known = member.members[other]
+            assert known.uid != old_uid or known.incarnation >= old
+        assert all(isinstance(action, MembershipEvent | Send) for action in actions)
 
 
 # Datagrams
@@ -261,7 +262,7 @@
 PING = Ping(1, "b", "a")
 
 
-def test_what_is_sealed_opens_once():
+def test_a_datagram_is_accepted_once():
     ours, theirs = Seal(1, KEYS), Seal(2, KEYS)
     data = ours.close(PING)
     assert theirs.open(data) == PING
@@ -269,8 +270,8 @@
     assert dict(theirs.refused) == {"repeat": 1}
 
 
-def test_keys_are_rolled_with_no_gap():
-    """Each step on one member at a time: whatever the other has, both hear each other."""
+def test_keys_are_rotated_without_interruption():
+    """At each step of a rotation, members with the keys before and after it accept each other's datagrams."""
     old, new = KEYS
     for ours, theirs in [
         ([old], [old]),
@@ -298,88 +299,88 @@
         (lambda d: d[:20] + bytes([d[20] ^ 1]) + d[21:], "not authentic"),
     ],
 )
-def test_what_is_not_authentic_is_refused_and_counted(change, why):
+def test_datagrams_that_fail_a_check_are_rejected_and_counted(change, why):
     theirs = Seal(2, KEYS)
     assert theirs.open(change(Seal(1, KEYS).close(PING))) is None
     assert dict(theirs.refused) == {why: 1}
 
 
-def test_an_authentic_datagram_that_cannot_be_read_is_refused():
+def test_an_authentic_datagram_that_cannot_be_decoded_is_rejected():
     ours, theirs = Seal(1, KEYS), Seal(2, KEYS)
-    data = ours.close(PING)[: -seal.TAG] + b"\xc1"
+    data = ours.close(PING)[: -seal.TAG_BYTES] + b"\xc1"
     data += seal._tag()(data, KEYS[0][1])
     assert (theirs.open(data), dict(theirs.refused)) == (None, {"unreadable": 1})
-    assert Seal(1, KEYS).open(ours.close(PING)) is None  # a member's own, come back to it
+    assert Seal(1, KEYS).open(ours.close(PING)) is None  # its own datagram
 
 
 @given(st.binary(max_size=1500))
-def test_no_bytes_do_harm(data):
+def test_arbitrary_bytes_are_rejected(data):
     assert Seal(2, KEYS).open(data) is None
 
 
 @given(st.lists(st.integers(0, 3000), max_size=200))
-def test_no_counter_is_taken_twice(counters):
-    seen, taken = Seen(), []
+def test_no_counter_is_accepted_twice(counters):
+    window, accepted = ReplayWindow(), []
     for counter in counters:
-        if seen.fresh(counter):
-            taken.append(counter)
-    assert len(taken) == len(set(taken))
-    if counters and max(counters) < seal.WINDOW:
-        assert set(taken) == set(counters)  # out of order, and none is lost
+        if window.accept(counter):
+            accepted.append(counter)
+    assert len(accepted) == len(set(accepted))
+    if counters and max(counters) < seal.REPLAY_WINDOW:
+        assert set(accepted) == set(counters)  # accepted in any order
 
 
 @pytest.mark.parametrize(
     ("text", "wrong"),
     [
         ("", "1:1: 0 keys, allowed: one or two"),
-        ("1 abc", "1:1: no key"),
-        ("x " + "0" * 64, "1:1: no key"),
-        ("300 " + "0" * 64, "1:1: no key"),
-        ("1 " + "0" * 62, "1:1: no key"),
-        ("\n1", "2:1: no key"),
-        ("1 " + "0" * 64 + "\n1 " + "1" * 64, "2:1: key 1 stands twice"),
+        ("1 abc", "1:1: not a key"),
+        ("x " + "0" * 64, "1:1: not a key"),
+        ("300 " + "0" * 64, "1:1: not a key"),
+        ("1 " + "0" * 62, "1:1: not a key"),
+        ("\n1", "2:1: not a key"),
+        ("1 " + "0" * 64 + "\n1 " + "1" * 64, "2:1: key 1 appears twice"),
         ("\n".join(f"{n} " + "0" * 64 for n in range(3)), "1:1: 3 keys"),
     ],
 )
-def test_keys_that_cannot_be_used(text, wrong):
+def test_invalid_keys_files_are_rejected(text, wrong):
     with pytest.raises(KeysError, match=wrong):
         read_keys(text)
 
 
-def test_a_file_of_keys():
+def test_a_valid_keys_file_is_read():
     assert read_keys(f"# new\n7 {'ab' * 32}  # since May\n\n1 {'00' * 32}\n") == [
         (7, b"\xab" * 32),
         (1, bytes(32)),
     ]
 
 
-def test_messages_pass_the_wire_unchanged():
+def test_messages_survive_encoding_and_decoding():
     for message in [PING, Sync("a", True, (rumour("b", 3, State.LEFT),))]:
         assert decode(encode(message)) == message
 
 
-# The bound on bytes
+# The budget of bytes
 
 
-def test_no_more_bytes_a_second_are_sent_than_allowed():
+def test_the_budget_bounds_the_bytes_per_second():
     budget, sent = Budget(1000, 0.0), 0
     for n in range(1000):
         sent += 100 * budget.spend(n * 0.01, 100)
-    assert 10_000 <= sent <= 11_000  # ten seconds, and the bucket that was full at first
+    assert 10_000 <= sent <= 11_000  # ten seconds, and the initially full bucket
 
 
-def test_what_travels_on_top_leaves_a_reserve_for_the_membership():
+def test_layers_leave_a_reserve_for_the_membership():
     budget = Budget(1000, 0.0)
     assert sum(budget.spend(0.0, 100, 0.25) for _ in range(20)) == 7
     assert sum(budget.spend(0.0, 100) for _ in range(20)) == 3
 
 
-def test_what_is_over_the_budget_is_dropped_and_counted():
+def test_datagrams_over_the_budget_are_dropped_and_counted():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         member = Membership("m0", sock.getsockname(), 1, PeersSettings(), Random(1))
         transport = UdpTransport(sock, Node(member), Seal(1, [(1, bytes(32))]), 100, lambda text: None)
-        transport._carry([Send(sock.getsockname(), Ping(1, "m1", "m0"))] * 10)
+        transport._carry_out([Send(sock.getsockname(), Ping(1, "m1", "m0"))] * 10)
         assert transport.traffic["sent"] + transport.traffic["over budget"] == 10
         assert transport.traffic["sent bytes"] <= 100
         assert transport.traffic["sent"] > 0
--- a/willownotch/peers/__init__.py
+++ b/willownotch/peers/__init__.py
@@ -1,9 +1,9 @@
-"""Membership of peers without a leader: who is there, who is suspected, who is gone, and why.
+"""Peer-to-peer membership without a leader: which members are alive, suspected or gone, and why.
 
-Enters: a time, and messages of other members. Leaves: messages for them, and news of members. It must not
-know what travels on top of it, open a socket, read a clock or draw from a random source that it was not
-handed.
+Input: times, and messages of other members. Output: messages to them, and membership events. This package
+must not know what the layers above it send, and its protocol must not open sockets, read a clock or use a
+random source of its own.
 
-`core` is the protocol as a state machine, `wire` its messages as bytes, `rumours` what is still to be passed
-on, `settings` the block of the settings file.
+`core` is the protocol as a state machine, `wire` its messages and their encoding, `rumours` the queue of
+rumours to be passed on, `settings` the block of the settings file.
 """
--- a/willownotch/peers/keys.py
+++ b/willownotch/peers/keys.py
@@ -1,4 +1,4 @@
-"""The file of keys, wherever a settings file names one."""
+"""Loads the keys file that a settings file names."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def load_keys(path: str) -> list[tuple[int, bytes]]:
-    """The keys file, or `KeysError` with the place of what is wrong."""
+    """The keys of a file; `KeysError` with path, line and column of what is wrong."""
     try:
         return read_keys(Path(path).read_text(encoding="utf-8"))
     except OSError as fault:
--- a/willownotch/peers/lossy.py
+++ b/willownotch/peers/lossy.py
@@ -1,8 +1,7 @@
-"""A network in simulated time that loses, delays, repeats and cuts, all from one seed: a stand-in for tests
-and rigs.
+"""A simulated network that loses, delays, duplicates and partitions datagrams, for tests and benchmarks.
 
-The members are the real protocol core; nothing here runs on a socket or a clock. The same seed gives the same
-story.
+The members run the real protocol core, in simulated time and without sockets. All randomness comes from one
+seed, so that the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -22,18 +21,18 @@
 
 @dataclass(slots=True)
 class Conditions:
-    """How bad the network is. Times are seconds, the rest shares."""
+    """The network's faults. `delay` and `jitter` are seconds, `loss` and `repeat` shares of datagrams."""
 
     loss: float = 0.0
     delay: float = 0.001
     jitter: float = 0.001
     repeat: float = 0.0
-    cut: Callable[[str, str], bool] = lambda source, target: False  # by names, one way
+    cut: Callable[[str, str], bool] = lambda source, target: False  # whether this direction is cut, by names
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What one member has sent; `layers` is the part that was not the membership's own."""
+    """What one member has sent; `layers` is the part that does not belong to the membership."""
 
     datagrams: int = 0
     bytes: int = 0
@@ -42,7 +41,7 @@
 
 @dataclass(order=True, slots=True)
 class Due:
-    """A datagram on its way, or a member's tick."""
+    """A datagram in flight, or a member's next tick."""
 
     at: float
     order: int
@@ -52,8 +51,8 @@
 
 
 class Network:
-    """All members, and what is on its way between them. `now` is the true time; each member's own is
-    offset."""
+    """All members and the datagrams between them. `now` is the simulated time; each member's clock is ahead
+    of it by an offset."""
 
     def __init__(
         self, seed: int, conditions: Conditions | None = None, settings: PeersSettings | None = None
@@ -65,12 +64,12 @@
         self.nodes: dict[str, Node] = {}
         self.offsets: dict[str, float] = {}
         self.paused: set[str] = set()
-        self.news: list[tuple[float, str, MembershipEvent]] = []  # when, who noticed, what
+        self.news: list[tuple[float, str, MembershipEvent]] = []  # time, observing member, event
         self.traffic: dict[str, Traffic] = {}
         self.addresses: dict[str, Address] = {}
-        self._at: dict[Address, str] = {}
+        self._names: dict[Address, str] = {}
         self._queue: list[Due] = []
-        self._ticks: dict[str, tuple[float, float]] = {}  # when, and by the member's own clock
+        self._ticks: dict[str, tuple[float, float]] = {}  # simulated time, and time of the member's clock
 
     def add(
         self,
@@ -83,14 +82,13 @@
         uid: int | None = None,
         claims: str | None = None,
     ) -> Membership:
-        """Start a member, also one that is back under its name; its clock is `offset` ahead of the true
-        time.
+        """Starts a member, or restarts the one with this name. Its clock is ahead by `offset` seconds.
 
-        `layers` travel on top of it; their clock is the member's. `claims` is the name it goes by, if that
-        is another's.
+        `layers` run on top of it, by its clock. `claims` is the name that it uses if that is not `name`, for
+        two members with the same name.
         """
         old = self.members.get(name)
-        address = ("10.0.0.1", port or (old.address[1] if old else 1000 + len(self._at)))
+        address = ("10.0.0.1", port or (old.address[1] if old else 1000 + len(self._names)))
         member = Membership(
             claims or name,
             address,
@@ -99,7 +97,7 @@
             Random(self.random.getrandbits(64)),
             incarnation,
         )
-        self.members[name], self._at[address], self.offsets[name] = member, name, offset
+        self.members[name], self._names[address], self.offsets[name] = member, name, offset
         self.addresses[name] = address
         self.traffic.setdefault(name, Traffic())
         self.paused.discard(name)
@@ -108,21 +106,21 @@
         return member
 
     def put(self, name: str, node: Node, seeds: list[Address]) -> None:
-        """Start any node under a name whose address and clock are known."""
+        """Starts a node under a name whose address and clock offset are already set."""
         self.nodes[name] = node
         self._carry(name, node.start(self.now + self.offsets[name], seeds))
 
     def add_node(self, name: str, node: Node) -> Address:
-        """Start a node of another kind, for comparison: an address of its own, and no offset."""
-        address = ("10.0.0.1", 1000 + len(self._at))
-        self._at[address], self.offsets[name] = name, 0.0
+        """Starts a node with another protocol, for comparison, with an address of its own and no offset."""
+        address = ("10.0.0.1", 1000 + len(self._names))
+        self._names[address], self.offsets[name] = name, 0.0
         self.addresses[name] = address
         self.traffic[name] = Traffic()
         self.put(name, node, [])
         return address
 
     def introduce_all(self) -> None:
-        """Let all know of all, as if they had been together for long."""
+        """Makes all members known to each other at once, as after a long time together."""
         for name, member in self.members.items():
             for other in self.members.values():
                 if other is not member:
@@ -134,11 +132,11 @@
             member.forget_rumours()
 
     def kill(self, name: str) -> None:
-        """It says and hears nothing more."""
+        """Stops a member without notice: it sends and receives nothing more."""
         self.paused.add(name)
 
     def run(self, until: float) -> None:
-        """Let the true time pass."""
+        """Advances the simulated time."""
         while self._queue and self._queue[0].at <= until:
             due = heapq.heappop(self._queue)
             self.now = max(self.now, due.at)
@@ -148,34 +146,38 @@
             if due.source is None:
                 at, wanted = self._ticks.get(due.name, (None, 0.0))
                 if at != due.at:
-                    continue  # a later word replaced it
-                self._carry(due.name, node.tick(max(own, wanted)))  # sums of floats fall short
+                    continue  # replaced by a later tick
+                self._carry(due.name, node.tick(max(own, wanted)))  # `own` may be too early by rounding
             else:
                 self._carry(due.name, node.receive(own, due.source, node.decode(due.data)))
         self.now = until
 
     def until(self, condition: Callable[[], bool], most: float, step: float = 0.1) -> float:
-        """Run until a condition holds; the time it took, or `AssertionError` after `most`."""
+        """Runs until the condition holds, and returns the simulated seconds that this took.
+
+        `AssertionError` if it does not hold within `most` seconds. It is checked every `step` seconds.
+        """
         began = self.now
         while not condition():
             if self.now - began > most:
-                raise AssertionError(f"not within {most} s of simulated time")
+                raise AssertionError(f"condition not met within {most} s of simulated time")
             self.run(self.now + step)
         return self.now - began
 
     def running_members(self) -> list[str]:
-        """Names of members that run."""
+        """Names of the members that are not stopped."""
         return [name for name in self.members if name not in self.paused]
 
     def all_know(self, names: set[str]) -> bool:
-        """Whether every running member takes just these to be there."""
+        """Whether every running member takes exactly these members to be alive."""
         return all({m.name for m in self.members[n].alive()} | {n} == names for n in self.running_members())
 
     def count(self, change: Change) -> int:
-        """How often any member noticed such a change."""
+        """How many events of this kind all members together reported."""
         return sum(news.change is change for _, _, news in self.news)
 
     def _carry(self, name: str, actions: list[Action]) -> None:
+        """Carries out a member's actions and schedules its next tick."""
         for action in actions:
             if isinstance(action, MembershipEvent):
                 self.news.append((self.now, name, action))
@@ -188,12 +190,13 @@
             self._push(Due(at, self._next(), name))
 
     def _post(self, name: str, address: Address, message: msgspec.Struct) -> None:
+        """Sends a message under the present conditions."""
         conditions, data = self.conditions, encode(message)
         traffic = self.traffic[name]
         traffic.datagrams += 1
         traffic.bytes += len(data)
         traffic.layers += len(data) * (not isinstance(message, Message))
-        target = self._at.get(address)
+        target = self._names.get(address)
         if target is None or conditions.cut(name, target):
             return
         for _ in range(1 + (self.random.random() < conditions.repeat)):
--- a/willownotch/peers/node.py
+++ b/willownotch/peers/node.py
@@ -1,6 +1,7 @@
-"""One member with all that travels between members: membership below, layers on top. No I/O, no clock.
+"""One member: the membership protocol and the layers on top of it, driven as one state machine. It does no
+I/O and reads no clock.
 
-The same node runs on sockets (`edge`) and in simulated time (`lossy`).
+The same node runs on sockets (`transport`) and in simulated time (`lossy`).
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 
 
 class Layer(Protocol):
-    """What talks to the other members by messages of its own. Times are those of the membership's clock."""
+    """A protocol with messages of its own between the members. Times are those of the membership's clock."""
 
     messages: tuple[type, ...]
 
     def due(self) -> float | None:
-        """When the next tick is wanted."""
+        """The time by which `tick` has to be called."""
 
     def tick(self, now: float, membership: Membership) -> list[Send]:
-        """Let time pass."""
+        """Runs what is due, and returns the messages to send."""
 
     def receive(self, now: float, address: Address, message: msgspec.Struct) -> list[Send]:
-        """A message of another member."""
+        """Handles a message of another member, and returns the messages to send."""
 
 
 def decoder(layers: Iterable[Layer]) -> Callable[[bytes], msgspec.Struct]:
-    """Reads messages of the membership and of these layers, told apart by their tags."""
+    """A decoder for the messages of the membership and of these layers, distinguished by their tags."""
     kinds = wire.Message
     for layer in layers:
         for kind in layer.messages:
@@ -40,24 +41,24 @@
 
 
 class Node:
-    """A membership and its layers, fed as one. Send and news come out in the order they were made."""
+    """A membership and its layers, driven as one. Actions are returned in the order in which they arose."""
 
     def __init__(self, membership: Membership, layers: tuple[Layer, ...] = ()) -> None:
         self.membership, self.layers = membership, layers
         self.decode = decoder(layers)
-        self._by_kind = {kind: layer for layer in layers for kind in layer.messages}
+        self._layers_by_message = {kind: layer for layer in layers for kind in layer.messages}
 
     def start(self, now: float, seeds: Iterable[Address] = ()) -> list[Action]:
-        """Join by the seeds."""
+        """Joins through the seeds."""
         return self.membership.start(now, seeds)
 
     def due(self) -> float | None:
-        """When the next tick is wanted."""
+        """The time by which `tick` has to be called."""
         times = [due for part in (self.membership, *self.layers) if (due := part.due()) is not None]
         return min(times, default=None)
 
     def tick(self, now: float) -> list[Action]:
-        """Let time pass."""
+        """Runs the membership's timers and the layers that are due."""
         actions = self.membership.tick(now)
         for layer in self.layers:
             due = layer.due()
@@ -66,25 +67,27 @@
         return actions
 
     def receive(self, now: float, address: Address, message: msgspec.Struct) -> list[Action]:
-        """A message of another member, found authentic."""
-        layer = self._by_kind.get(type(message))
+        """Handles an authenticated message by the layer that it belongs to, or by the membership."""
+        layer = self._layers_by_message.get(type(message))
         if layer is None:
             return self.membership.receive(now, address, message)
         return list(layer.receive(now, address, message))
 
     def leave(self, now: float) -> list[Action]:
-        """Say that this member goes."""
+        """Announces that this member leaves."""
         return self.membership.leave(now)
 
 
 def alive_members(membership: Membership) -> list[tuple[str, Address]]:
-    """The others that answer, by name, suspects among them."""
+    """Names and addresses of the other members that are alive or suspected."""
     return [(member.name, member.address) for member in membership.alive()]
 
 
-def recently_dead(membership: Membership, now: float, most_s: float) -> list[str]:
-    """Those that went without a word, not longer than so many seconds ago."""
-    return [m.name for m in membership.members.values() if m.state is State.DEAD and now - m.since <= most_s]
+def recently_dead(membership: Membership, now: float, max_age_s: float) -> list[str]:
+    """Names of members that died without leaving, at most `max_age_s` ago."""
+    return [
+        m.name for m in membership.members.values() if m.state is State.DEAD and now - m.since <= max_age_s
+    ]
 
 
 __all__ = ["Layer", "MembershipEvent", "Node", "Send", "decoder", "recently_dead", "alive_members"]
--- a/willownotch/peers/transport.py
+++ b/willownotch/peers/transport.py
@@ -1,7 +1,8 @@
-"""The node on a UDP socket: one thread that receives, ticks and sends, within a bound on bytes a second.
+"""Runs a node on a UDP socket: one thread that receives, runs timers and sends, within a budget of bytes a
+second.
 
-Membership goes first: what travels on top may use the bound only while a quarter of a second's bytes is
-left. What cannot be sent is dropped and counted; the protocols ask again.
+The membership has priority: layers may send only while a quarter of a second's budget is left. A datagram
+that cannot be sent is dropped and counted; the protocols retry by themselves.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from willownotch.peers.seal import MAX_DATAGRAM_BYTES, Seal
 from willownotch.peers.wire import Address, Message
 
-ROUND_MOST = 64  # datagrams taken before the timers are looked at again
-IDLE_S = 1.0  # s between two rounds at the most
-RESERVE = 0.25  # of the bytes of a second, left for the membership
+MAX_DATAGRAMS_PER_ROUND = 64  # received before the timers are checked again
+MAX_WAIT_S = 1.0  # for a datagram or a timer, so that `stop` is noticed
+RESERVE_SHARE = 0.25  # of a second's budget, which only the membership may use
 
 
 class Budget:
-    """Bytes a second, a token bucket of one second."""
+    """A token bucket for bytes, which holds at most one second's budget."""
 
     def __init__(self, per_s: int, now: float) -> None:
         self.per_s = per_s
         self._left, self._at = float(per_s), now
 
     def spend(self, now: float, size: int, reserve: float = 0.0) -> bool:
-        """Whether so many bytes may be sent and still leave that share of a second's; they are counted
-        then."""
+        """Takes `size` bytes from the budget; False, and nothing taken, if less than the share `reserve` of
+        one second's budget would be left."""
         self._left = min(float(self.per_s), self._left + (now - self._at) * self.per_s)
         self._at = now
         if self._left - size < reserve * self.per_s:
@@ -45,24 +46,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerView:
-    """A member as an operator sees it."""
+    """A member as operators see it."""
 
     name: str
     address: str
     state: str
     why: str
-    since_s: float  # how long it has been in this state here
-    heard_s: float | None  # since a message of its own
+    since_s: float  # time since this member recorded the state
+    heard_s: float | None  # time since its last direct message
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeersView:
-    """All members, this one's own state, and its datagrams."""
+    """All other members, this member's own state, and counts of its datagrams."""
 
     name: str
     address: str
-    health: int  # 0 is well; each step stretches its own spans once more
+    health: int  # 0 is healthy; its timeouts are multiplied by health + 1
     incarnation: int
     members: tuple[PeerView, ...]
     traffic: dict[str, int]
@@ -70,12 +71,12 @@
 
 
 def format_address(address: Address) -> str:
-    """As `host:port`."""
+    """The address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 class UdpTransport:
-    """Runs a node. `before` is called in each round before anything else, with the time."""
+    """Runs a node on a socket. Each round begins with a call of `before` with the time."""
 
     def __init__(
         self,
@@ -94,48 +95,49 @@
         self._stopped = threading.Event()
 
     def run(self, seeds: tuple[Address, ...]) -> None:
-        """Join, and go on until stopped."""
+        """Joins through the seeds and runs rounds until `stop` is called."""
         with self.lock:
             self.before(time.monotonic())
-            self._carry(self.node.start(time.monotonic(), seeds))
+            self._carry_out(self.node.start(time.monotonic(), seeds))
         while not self._stopping:
             self.round()
         self._stopped.set()
 
     def round(self) -> None:
-        """Wait for a datagram or a timer, and take what there is."""
+        """Waits for a datagram or a timer, then handles the datagrams that have arrived and due timers."""
         due = self.node.due()
-        wait = IDLE_S if due is None else min(IDLE_S, max(0.0, due - time.monotonic()))
-        found = self._receive(max(wait, 0.0005))
+        wait = MAX_WAIT_S if due is None else min(MAX_WAIT_S, max(0.0, due - time.monotonic()))
+        received = self._receive(max(wait, 0.0005))
         with self.lock:
             self.before(time.monotonic())
-            taken = 0
-            while found is not None:
-                self._take(*found)
-                taken += 1
-                found = self._receive(0.0) if taken < ROUND_MOST else None
+            handled = 0
+            while received is not None:
+                self._handle(*received)
+                handled += 1
+                received = self._receive(0.0) if handled < MAX_DATAGRAMS_PER_ROUND else None
             now = time.monotonic()
             if (due := self.node.due()) is not None and due <= now:
-                self._carry(self.node.tick(now))
+                self._carry_out(self.node.tick(now))
 
-    def _receive(self, wait: float) -> tuple[bytes, Address] | None:
-        self.sock.settimeout(wait)
+    def _receive(self, wait_s: float) -> tuple[bytes, Address] | None:
+        self.sock.settimeout(wait_s)
         try:
             return self.sock.recvfrom(2 * MAX_DATAGRAM_BYTES)
         except (BlockingIOError, TimeoutError):
             return None
-        except OSError:  # an earlier datagram found nobody
+        except OSError:  # the ICMP error for an earlier datagram, such as a closed port
             self.traffic["receive failed"] += 1
             return None
 
-    def _take(self, data: bytes, address: Address) -> None:
+    def _handle(self, data: bytes, address: Address) -> None:
         self.traffic["received"] += 1
         self.traffic["received bytes"] += len(data)
         message = self.seal.open(data)
         if message is not None:
-            self._carry(self.node.receive(time.monotonic(), address, message))
+            self._carry_out(self.node.receive(time.monotonic(), address, message))
 
-    def _carry(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
+        """Sends the messages and logs the events."""
         for action in actions:
             if isinstance(action, MembershipEvent):
                 self.say(f"{action.name} {action.change.value}: {action.why}")
@@ -148,7 +150,7 @@
         except ValueError:
             self.traffic["too long"] += 1
             return
-        reserve = 0.0 if isinstance(message, Message) else RESERVE
+        reserve = 0.0 if isinstance(message, Message) else RESERVE_SHARE
         if not self.budget.spend(time.monotonic(), len(data), reserve):
             self.traffic["over budget"] += 1
             return
@@ -160,20 +162,20 @@
         self.traffic["sent"] += 1
         self.traffic["sent bytes"] += len(data)
 
-    def send_last(self, words: Callable[[float], list[Action]]) -> None:
-        """Send what a layer has to say at the end; any other thread may call it."""
+    def send_last(self, farewell: Callable[[float], list[Action]]) -> None:
+        """Sends a layer's last messages, which `farewell` returns. May be called from any thread."""
         with self.lock:
-            self._carry(words(time.monotonic()))
+            self._carry_out(farewell(time.monotonic()))
 
     def stop(self, most_s: float = 2.0) -> None:
-        """Leave, and end the rounds; any other thread may call it."""
+        """Leaves, and waits up to `most_s` for the last round to end. May be called from any thread."""
         with self.lock:
-            self._carry(self.node.leave(time.monotonic()))
+            self._carry_out(self.node.leave(time.monotonic()))
         self._stopping = True
         self._stopped.wait(most_s)
 
     def view(self) -> PeersView:
-        """What it knows of the members; any thread may ask."""
+        """The present state for operators. May be called from any thread."""
         with self.lock:
             now, own = time.monotonic(), self.node.membership
             members = tuple(
--- a/willownotch/peers/wire.py
+++ b/willownotch/peers/wire.py
@@ -1,4 +1,4 @@
-"""What members say to each other, and how it is told apart. Plain values; bytes by msgspec's msgpack."""
+"""The messages between members and their encoding. Plain values, encoded as msgpack by msgspec."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class State(IntEnum):
-    """What is held of a member. Of two rumours of one incarnation the higher one counts."""
+    """The state of a member. Of two rumours with the same incarnation, the one with the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,7 +19,7 @@
 
 
 class Rumour(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member: `by` says it, `uid` tells one process under the name from the next."""
+    """The state of a member as reported by `by`. `uid` distinguishes the processes that used its name."""
 
     name: str
     state: State
@@ -31,12 +31,12 @@
 
     @property
     def address(self) -> Address:
-        """Where it is."""
+        """The member's address."""
         return self.host, self.port
 
 
 class Ping(msgspec.Struct, tag=1, frozen=True, array_like=True):
-    """Are you there? `name` is who is meant: an address may be another's by now."""
+    """A probe of the member `name`; a member of another name at this address ignores it."""
 
     sequence: int
     name: str
@@ -45,7 +45,7 @@
 
 
 class PingRequest(msgspec.Struct, tag=2, frozen=True, array_like=True):
-    """Ask another for me, and say also if it does not answer."""
+    """Asks the receiver to probe the member `name`, and to report a missing answer by a `Nack`."""
 
     sequence: int
     name: str
@@ -56,7 +56,7 @@
 
 
 class Ack(msgspec.Struct, tag=3, frozen=True, array_like=True):
-    """I am, or the other is."""
+    """The answer to a probe, direct or passed on; `source` is the member that was probed."""
 
     sequence: int
     source: str
@@ -64,14 +64,14 @@
 
 
 class Nack(msgspec.Struct, tag=4, frozen=True, array_like=True):
-    """I asked for you, and heard nothing yet: who gets this is not cut off itself."""
+    """An indirect probe has no answer yet. It shows the requester that it is not cut off itself."""
 
     sequence: int
     source: str
 
 
 class Sync(msgspec.Struct, tag=5, frozen=True, array_like=True):
-    """A part of all that is known; `wanted`: send yours."""
+    """Some of the sender's known members; `wanted` asks the receiver for its full state."""
 
     source: str
     wanted: bool
