--- a/willownotch/links/__init__.py
+++ b/willownotch/links/__init__.py
@@ -1,6 +1,7 @@
-"""Links between members over TCP: sealed frames, one connection a direction, each peer's queue bounded.
+"""Links between members over TCP: authenticated frames, one connection for each direction, bounded queues.
 
-What enters: a name and a message, and frames from others. What leaves: messages that were authentic, to whom
-it was made for, and counts. It must not know what they say: it is made with their decoder and a version of
-its own, so that frames of one subsystem are none of another's. Loaded only where a part asks for it.
+Input: messages for named peers, and frames from other members. Output: the authenticated messages, passed to
+a callback, and traffic counts. This package must not know what the messages mean: each subsystem supplies its
+own decoder and frame version, which keep its frames apart from those of others. It is imported only where a
+subsystem needs it.
 """
--- a/willownotch/links/transport.py
+++ b/willownotch/links/transport.py
@@ -1,10 +1,13 @@
-"""Frames between members over TCP: sealed, one connection a direction, each peer's queue bounded.
+"""Authenticated frames between members over TCP: one connection for each direction, a bounded queue for each
+peer.
 
-Whoever has something to say connects to the member's address (the port of its datagrams) and writes; answers
-come on a connection of the other's own. A connection that breaks loses what was on its way: the core asks
-again.
+A member connects to its peer's address (the port number of its datagrams) and only writes; the answers come
+on a connection that the peer opens. When a connection breaks, the frames in flight and in the queue are lost;
+the protocols above retry by themselves.
 
     length 4 | version 1 | key number 1 | sender's uid 6 | counter 8 | message | tag 16
+
+The numbers are bytes.
 """
 
 from __future__ import annotations
@@ -22,31 +25,31 @@
 from willownotch.peers.seal import Seal
 from willownotch.peers.wire import Address
 
-MAX_FRAME_BYTES = 1 << 20  # bytes of a frame
-QUEUE_MOST = 4 << 20  # bytes that wait for one peer; what comes on top is dropped and counted
-CONNECT_S, WRITE_S, PAUSE_S = 1.0, 3.0, 0.1
-IDLE_S = 30.0  # a link that nothing was sent on for so long ends
-SILENT_S = 2 * IDLE_S  # a connection that nothing came on for so long is closed
-CONNECTIONS_MOST = 256  # that are read from at once; who comes on top is closed and counted
+MAX_FRAME_BYTES = 1 << 20
+MAX_QUEUE_BYTES = 4 << 20  # waiting for one peer; further messages are dropped and counted
+CONNECT_TIMEOUT_S, WRITE_TIMEOUT_S, RETRY_PAUSE_S = 1.0, 3.0, 0.1
+IDLE_S = 30.0  # a link with nothing to send for this long ends
+SILENT_S = 2 * IDLE_S  # an incoming connection without data for this long is closed
+MAX_CONNECTIONS = 256  # incoming ones at a time; further ones are closed and counted
 BACKLOG = 64
 LENGTH = Struct("!I")
 
-Start = Callable[[str, Callable[[], None]], None]
+StartThread = Callable[[str, Callable[[], None]], None]
 Message = msgspec.Struct
 
 
 class Link:
-    """What goes to one peer: a queue, a thread, a connection."""
+    """The outgoing side to one peer: a queue, a thread and a connection."""
 
     def __init__(self, name: str, address: Address, transport: TcpTransport) -> None:
         self.name, self.address, self.transport = name, address, transport
         self.waiting: queue.SimpleQueue[tuple[Message, int] | None] = queue.SimpleQueue()
-        self.bytes = 0  # of frames that wait, as `Kind.size` has it
+        self.waiting_bytes = 0  # estimated by `LinkKind.frame_size`
         self.sock: socket.socket | None = None
         self.ended = False
 
     def run(self) -> None:
-        """Write what comes, until nothing has for a while."""
+        """Writes the queued messages until None is queued or nothing was for `IDLE_S`."""
         pause = threading.Event()
         while True:
             try:
@@ -64,7 +67,7 @@
             message, size = found
             data = self.transport.close(message)
             with self.transport.lock:
-                self.bytes -= size
+                self.waiting_bytes -= size
             try:
                 if self.sock is None:
                     self.sock = self.transport.connect(self.address)
@@ -74,17 +77,17 @@
             except OSError:
                 self.transport.traffic["send failed"] += 1
                 self._close()
-                self._drop()
-                pause.wait(PAUSE_S)
+                self._drop_queue()
+                pause.wait(RETRY_PAUSE_S)
 
-    def _drop(self) -> None:
-        """What waits is older than what the core will say once it notices: it goes, too."""
+    def _drop_queue(self) -> None:
+        """Drops the queued messages: the protocol replaces them by newer ones after the loss."""
         with self.transport.lock:
             while not self.waiting.empty():
                 if (found := self.waiting.get()) is None:
                     self.waiting.put(None)
                     return
-                self.bytes -= found[1]
+                self.waiting_bytes -= found[1]
                 self.transport.traffic["dropped"] += 1
 
     def _close(self) -> None:
@@ -95,16 +98,16 @@
 
 @dataclass(frozen=True)
 class LinkKind:
-    """What tells one subsystem's links from another's."""
+    """What distinguishes the links of one subsystem from those of another."""
 
-    name: str  # begins the names of its threads
-    version: int  # of its frames, told apart from datagrams, which the same keys seal
+    name: str  # prefix of its threads' names
+    version: int  # of its frames; unlike that of datagrams, which use the same keys
     decode: Callable[[bytes], Message]
-    size: Callable[[Message], int]  # bytes of a message's frame, about
+    frame_size: Callable[[Message], int]  # estimated bytes of a message's frame
 
 
 class TcpTransport:
-    """The listener, the connections that were taken, and a link for each peer that is spoken to."""
+    """The listener, the incoming connections, and a link to each peer that is sent to."""
 
     def __init__(
         self,
@@ -113,10 +116,10 @@
         host: str,
         uid: int,
         keys: list[tuple[int, bytes]],
-        got: Callable[[Message], None],
-        start: Start,
+        deliver: Callable[[Message], None],
+        start: StartThread,
     ) -> None:
-        self.kind, self.listener, self.host, self.got, self.start = kind, listener, host, got, start
+        self.kind, self.listener, self.host, self.deliver, self.start = kind, listener, host, deliver, start
         self.seal = Seal(uid, keys, kind.decode, kind.version, MAX_FRAME_BYTES)
         self.traffic: Counter[str] = Counter()
         self.lock = threading.Lock()
@@ -125,20 +128,20 @@
         self.addresses: dict[str, Address] = {}
 
     def close(self, message: Message) -> bytes:
-        """A frame, with its length."""
+        """A message as a signed frame with its length in front."""
         with self.lock:
             data = self.seal.close(message)
         return LENGTH.pack(len(data)) + data
 
     def connect(self, address: Address) -> socket.socket:
-        """A connection to a peer, from this member's own address."""
+        """A new connection to a peer, bound to this member's own address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            sock.settimeout(CONNECT_S)
+            sock.settimeout(CONNECT_TIMEOUT_S)
             if self.host != "0.0.0.0":
                 sock.bind((self.host, 0))
             sock.connect(address)
-            sock.settimeout(WRITE_S)
+            sock.settimeout(WRITE_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
             sock.close()
@@ -146,52 +149,53 @@
         return sock
 
     def send(self, name: str, message: Message) -> None:
-        """Put a frame in a peer's queue. To whom no way is known, or who is too slow, nothing is sent."""
+        """Queues a message for a peer. It is dropped and counted if the peer's address is unknown or its
+        queue is full."""
         address = self.addresses.get(name)
         if address is None:
             self.traffic["unknown peer"] += 1
             return
-        size = self.kind.size(message)
+        size = self.kind.frame_size(message)
         with self.lock:
             link = self.links.get(name)
-            fresh = link is None or link.ended or link.address != address
-            if fresh:
+            is_new = link is None or link.ended or link.address != address
+            if is_new:
                 if link is not None:
                     link.waiting.put(None)
                 link = self.links[name] = Link(name, address, self)
-            if link.bytes + size > QUEUE_MOST:
+            if link.waiting_bytes + size > MAX_QUEUE_BYTES:
                 self.traffic["dropped"] += 1
                 return
-            link.bytes += size
+            link.waiting_bytes += size
             link.waiting.put((message, size))
-        if fresh:
+        if is_new:
             self.start(f"{self.kind.name}-to-{name}", link.run)
 
     def rotate_keys(self, keys: list[tuple[int, bytes]]) -> None:
-        """Use other keys from now on."""
+        """Replaces the keys."""
         with self.lock:
             self.seal.rotate_keys(keys)
 
     def run(self) -> None:
-        """Take connections until the listener is closed."""
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 sock, _ = self.listener.accept()
             except OSError:
                 if self.listener.fileno() < 0:
                     return
-                threading.Event().wait(PAUSE_S)
+                threading.Event().wait(RETRY_PAUSE_S)
                 continue
             with self.lock:
-                full = self.connections >= CONNECTIONS_MOST
+                full = self.connections >= MAX_CONNECTIONS
                 self.connections += not full
             if full:
                 self.traffic["too many connections"] += 1
                 sock.close()
             else:
-                self.start(f"{self.kind.name}-from", lambda sock=sock: self._take(sock))
+                self.start(f"{self.kind.name}-from", lambda sock=sock: self._serve(sock))
 
-    def _take(self, sock: socket.socket) -> None:
+    def _serve(self, sock: socket.socket) -> None:
         try:
             self._read(sock)
         finally:
@@ -199,7 +203,8 @@
                 self.connections -= 1
 
     def _read(self, sock: socket.socket) -> None:
-        """Frames of one connection. One that cannot be read ends it: its place in the stream is lost."""
+        """Reads the frames of one connection. A rejected frame ends it, as the frame boundaries after it
+        are not reliable."""
         try:
             sock.settimeout(SILENT_S)
             with sock, sock.makefile("rb") as stream:
@@ -221,6 +226,6 @@
                     self.traffic["received bytes"] += len(data)
                     if message is None:
                         return
-                    self.got(message)
+                    self.deliver(message)
         except OSError:
-            pass  # it broke off
+            pass  # the connection broke, or was silent for too long
