--- a/tests/test_lease_sockets.py
+++ b/tests/test_lease_sockets.py
@@ -1,4 +1,4 @@
-"""Duties with real senders and faults between them: stops, cuts, kills, old folders, loss."""
+"""Leases of real senders with faults between them: suspensions, partitions, kills, old folders, loss."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 MEMBERS = 5
 
 
-class Leasing(MeshFleet):
-    """Senders with one duty, whose holder acts ten times a second."""
+class LeaseFleet(MeshFleet):
+    """Senders with one duty, whose holder sends ten acts a second."""
 
     def __init__(self, number, tmp_path, **more):
         super().__init__(number, tmp_path, usage="", **more)
@@ -46,12 +46,12 @@
     def holders(self):
         return [n for n in self.running() if self.duty(n)["here"] == "held"]
 
-    def held(self, among=None):
-        """Wait until there is one holder, and who it is."""
+    def wait_held(self, among=None):
+        """Waits for a holder and returns its number."""
         return until(lambda: [n for n in self.holders() if among is None or n in among], PATIENCE)[0]
 
     def tokens(self, n):
-        """Of the acts that a member took, in their order."""
+        """Tokens of the acts that a member accepted last, in that order."""
         return [act["token"] for act in self.duty(n)["last"]]
 
     def acts_of(self, n, source):
@@ -59,11 +59,11 @@
 
 
 @pytest.fixture
-def leasing(tmp_path):
+def make_fleet(tmp_path):
     made = []
 
     def make(**more):
-        made.append(Leasing(MEMBERS, tmp_path, **more))
+        made.append(LeaseFleet(MEMBERS, tmp_path, **more))
         return made[-1].wait_joined(PATIENCE)
 
     yield make
@@ -71,32 +71,32 @@
         each.close()
 
 
-def test_a_killed_holder_is_followed_and_its_acts_end(leasing):
-    fleet = leasing()
-    first = fleet.held()
+def test_a_killed_holder_is_replaced_and_its_acts_end(make_fleet):
+    fleet = make_fleet()
+    first = fleet.wait_held()
     others = [n for n in range(MEMBERS) if n != first]
     until(lambda: all(fleet.acts_of(n, first) for n in others), PATIENCE)
     fleet.kill(first)
-    second = fleet.held(others)
+    second = fleet.wait_held(others)
     until(lambda: all(fleet.acts_of(n, second) for n in others), PATIENCE)
     for n in others:
         tokens = fleet.tokens(n)
         assert tokens == sorted(tokens)
 
 
-def test_a_holder_that_was_stopped_for_twice_its_lease_does_nothing_more(leasing):
-    fleet = leasing()
-    first = fleet.held()
+def test_a_holder_that_was_suspended_beyond_its_lease_sends_no_more_acts(make_fleet):
+    fleet = make_fleet()
+    first = fleet.wait_held()
     token = fleet.duty(first)["token"]
     fleet.senders[first].process.send_signal(signal.SIGSTOP)
     fleet.stopped = frozenset({first})
     others = [n for n in range(MEMBERS) if n != first]
-    second = fleet.held(others)
+    second = fleet.wait_held(others)
     until(lambda: all(fleet.acts_of(n, second) for n in others), PATIENCE)
     fleet.senders[first].process.send_signal(signal.SIGCONT)
     fleet.stopped = frozenset()
     lines = fleet.senders[first].lines
-    until(lambda: any("fold is not held here any more" in line for line in lines), PATIENCE)
+    until(lambda: any("fold is no longer held here" in line for line in lines), PATIENCE)
     until(lambda: fleet.acts_of(first, second), PATIENCE)
     for n in others:
         tokens = fleet.tokens(n)
@@ -104,14 +104,14 @@
         assert tokens[-1] > token
 
 
-def test_in_a_cut_into_two_and_three_only_the_three_hold_it_and_then_there_is_one(leasing):
-    fleet = leasing()
-    first = fleet.held()
+def test_only_the_majority_side_of_a_partition_has_a_holder(make_fleet):
+    fleet = make_fleet()
+    first = fleet.wait_held()
     few = {first, (first + 1) % MEMBERS}
     names = {f"i{n}" for n in few}
     fleet.relay.conditions = Conditions(cut=lambda a, b: (a in names) != (b in names))
     until(lambda: not set(fleet.holders()) & few, PATIENCE)
-    second = fleet.held()
+    second = fleet.wait_held()
     assert second not in few
     until(lambda: any(fleet.acts_of(n, second) for n in range(MEMBERS) if n not in few), PATIENCE)
     assert not set(fleet.holders()) & few
@@ -121,48 +121,48 @@
     assert len(fleet.holders()) == 1
 
 
-def test_a_member_that_is_back_with_an_old_folder_gets_no_old_token(leasing, tmp_path):
-    fleet = leasing()
-    first = fleet.held()
+def test_a_member_that_restarts_with_an_old_folder_gets_no_old_token(make_fleet, tmp_path):
+    fleet = make_fleet()
+    first = fleet.wait_held()
     token = fleet.duty(first)["token"]
     sender = fleet.senders[first]
     sender.process.kill()
     sender.process.wait(harness.PATIENCE)
     shutil.copytree(sender.state, tmp_path / "old", ignore=shutil.ignore_patterns("handover"))
     others = [n for n in range(MEMBERS) if n != first]
-    second = fleet.held(others)
+    second = fleet.wait_held(others)
     shutil.rmtree(sender.state)
     shutil.copytree(tmp_path / "old", sender.state)
     sender.start()
     fleet.register_address(first)
     fleet.kill(second)
-    third = fleet.held()
+    third = fleet.wait_held()
     assert fleet.duty(third)["token"] > token + 1
 
 
-def test_through_loss_and_delay_the_duty_is_never_long_without_a_holder(leasing):
-    fleet = leasing()
+def test_a_killed_holder_is_replaced_despite_loss_and_delay(make_fleet):
+    fleet = make_fleet()
     fleet.relay.conditions = Conditions(loss=0.3, delay=0.15, jitter=0.05)
-    first = fleet.held()
+    first = fleet.wait_held()
     fleet.kill(first)
-    second = fleet.held([n for n in range(MEMBERS) if n != first])
+    second = fleet.wait_held([n for n in range(MEMBERS) if n != first])
     until(lambda: fleet.acts_of(second, second), PATIENCE)
 
 
-def test_who_ends_in_good_order_hands_on(leasing):
-    fleet = leasing()
-    first = fleet.held()
-    for _ in range(2):  # the second one ends its waiting for a SIGKILL
+def test_a_holder_that_is_shut_down_releases_its_duty(make_fleet):
+    fleet = make_fleet()
+    first = fleet.wait_held()
+    for _ in range(2):  # a second SIGTERM ends the wait for a SIGKILL
         fleet.senders[first].process.send_signal(signal.SIGTERM)
         until(lambda: any("stop: SIGTERM" in line for line in fleet.senders[first].lines))
     until(lambda: any("fold is handed on" in line for line in fleet.senders[first].lines), PATIENCE)
-    fleet.stopped = frozenset({first})  # it answers no more questions
-    assert fleet.held([n for n in range(MEMBERS) if n != first]) != first
+    fleet.stopped = frozenset({first})  # its control socket is closed
+    assert fleet.wait_held([n for n in range(MEMBERS) if n != first]) != first
 
 
-def test_the_command_shows_who_holds_what(leasing):
-    fleet = leasing()
-    first = fleet.held()
+def test_the_leases_command_shows_the_holder(make_fleet):
+    fleet = make_fleet()
+    first = fleet.wait_held()
     until(lambda: fleet.duty((first + 1) % MEMBERS)["holder"] == f"i{first}", PATIENCE)
     found = subprocess.run(
         [sys.executable, "-m", "willownotch", "leases", "--socket", str(fleet.socket((first + 1) % MEMBERS))],
--- a/willownotch/lease/__init__.py
+++ b/willownotch/lease/__init__.py
@@ -1,6 +1,6 @@
-"""Duties that one sender alone may hold at a time: leases granted by a majority, with tokens that only grow.
+"""Duties that only one sender may hold at a time: leases granted by a majority, with fencing tokens.
 
-In: messages of other members, who is there, the time. Out: messages, whether this sender may act on a duty
-now, and acts of others that are to be taken. `register` and `core` are free of I/O, clocks and threads; what
-must be in the folder before an answer is handed to a callable. It must not do any duty itself: who holds one
-does."""
+Input: messages of other members, the members that are alive, the time. Output: messages, whether this sender
+may act under a duty now, and the acts of other holders that are to be applied. `register` and `core` do no
+I/O, read no clock and start no threads; a callback stores what must be durable before an answer is sent. This
+package must not carry out the duties: their holders do."""
--- a/willownotch/lease/register.py
+++ b/willownotch/lease/register.py
@@ -1,7 +1,7 @@
-"""Who holds what, as one elector has it: a grant for a span, under a token that only grows. No I/O, no clock.
+"""The grants of one elector: who holds what, for how long, under a token that only grows. No I/O, no clock.
 
-`decide` is the whole rule, over plain values: the register, the witnesses of custody and the model check use
-it."""
+`decide` is the complete rule on plain values. It is used here, by the witnesses of custody and by the
+model check."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What was granted last. `until` is when the holder's lease may end at the latest, by this clock."""
+    """The last grant. `until` is the latest time, by this elector's clock, at which the lease may end."""
 
     token: int
     holder: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """What is asked for. `release`: the holder is done; `close`: and so is everybody."""
+    """A request for a grant. `release` ends the lease at once, `close` also rules out any later grant."""
 
     token: int
     holder: str
@@ -31,61 +31,65 @@
     close: bool = False
 
 
-def decide(grant: Grant | None, now: float, wanted: GrantRequest) -> Grant | None:
-    """The new grant, or None: it is refused.
+def decide(grant: Grant | None, now: float, request: GrantRequest) -> Grant | None:
+    """The new grant; None if the request is refused.
 
-    A token is one holder's for good. A higher one is granted once the lease has run out, or to the holder
-    itself."""
+    A token belongs to one holder for good. A higher token is granted once the lease has run out, or to the
+    present holder."""
     if grant is None:
         grant = Grant(0, "", 0, now)
-    own = (grant.holder, grant.uid) == (wanted.holder, wanted.uid)
-    if grant.closed or wanted.token < grant.token:
+    own = (grant.holder, grant.uid) == (request.holder, request.uid)
+    if grant.closed or request.token < grant.token:
         return None
-    if wanted.token == grant.token and not own:
+    if request.token == grant.token and not own:
         return None
-    if wanted.token > grant.token and not own and now < grant.until:
+    if request.token > grant.token and not own and now < grant.until:
         return None
-    if wanted.release or wanted.close:
+    if request.release or request.close:
         until = now
     else:
-        until = now + wanted.span
-        if own and wanted.token == grant.token:  # one that was overtaken by its successor shortens nothing
+        until = now + request.span
+        if own and request.token == grant.token:  # a renewal that arrives late does not shorten the lease
             until = max(until, grant.until)
-    return Grant(wanted.token, wanted.holder, wanted.uid, until, wanted.close)
+    return Grant(request.token, request.holder, request.uid, until, request.close)
 
 
 @dataclass(slots=True)
 class GrantTable:
-    """All grants of one elector. `began` is the start of this process, `span` the longest lease before it."""
+    """All grants of one elector. `began` is the start of this process, `span` the longest lease that may have
+    been granted before it."""
 
     began: float
     span: float
     grants: dict[str, Grant] = field(default_factory=dict)
 
     def restore(self, name: str, token: int, holder: str, uid: int, closed: bool = False) -> None:
-        """What the folder has. The lease may have been granted a moment before the end."""
+        """Takes over a stored grant. Its lease may have begun just before the earlier process ended."""
         self.grants[name] = Grant(token, holder, uid, self.began + self.span, closed)
 
-    def ask(self, now: float, name: str, wanted: GrantRequest, new: bool = False) -> Grant | None:
-        """The grant, or None. Of what is not `new` by its name, an earlier grant may have been forgotten."""
+    def ask(self, now: float, name: str, request: GrantRequest, new: bool = False) -> Grant | None:
+        """Decides on a request, and records a grant; None if it is refused.
+
+        For a name without a grant, an earlier one may have been lost, so that nothing is granted until the
+        longest lease is over. `new` says that the name cannot have been granted before."""
         known = self.grants.get(name)
         if known is None and not new and now < self.began + self.span:
             return None
-        found = decide(known, now, wanted)
+        found = decide(known, now, request)
         if found is not None:
             self.grants[name] = found
         return found
 
     def left(self, now: float, name: str) -> float:
-        """Seconds until what is not granted now may be."""
+        """Seconds until another holder may be granted this name."""
         known = self.grants.get(name)
         return max(0.0, (known.until if known is not None else self.began + self.span) - now)
 
     def token(self, name: str) -> int:
-        """The highest token granted here."""
+        """The highest token granted here; 0 if there is none."""
         known = self.grants.get(name)
         return known.token if known is not None else 0
 
     def forget(self, name: str) -> None:
-        """Nobody will ask for it again."""
+        """Removes the grant of a name that will not be requested again."""
         self.grants.pop(name, None)
--- a/willownotch/lease/service.py
+++ b/willownotch/lease/service.py
@@ -1,7 +1,8 @@
-"""Duties in a running sender: grants and fences in the folder, acts done and taken, what operators ask.
+"""Duties in a running sender: stores grants and fences in the folder, performs and records acts, and shows
+the state to operators.
 
-The membership's thread runs the core under its lock. A grant is in the folder before it is answered; the
-file is small, and written anew in one step each time, so that it is whole or the one before."""
+The membership's thread runs the core under its lock. A grant is stored before it is answered. The file is
+small and replaced as a whole each time, so that it always has either the old or the new content."""
 
 from __future__ import annotations
 
@@ -19,11 +20,11 @@
 from willownotch.lease.settings import LeaseSettings
 
 NAME, NEW_NAME = "duties", "duties.new"
-LAST_ACTS = 16  # of each duty that are shown
+MAX_SHOWN_ACTS = 16  # the latest ones of each duty
 
 
 class StoredGrant(msgspec.Struct, frozen=True, array_like=True):
-    """What the folder has of a duty: a grant, or a fence where there is no holder."""
+    """A stored grant, or a fence (a lowest token) if `holder` is empty."""
 
     duty: str
     token: int
@@ -32,7 +33,7 @@
 
 
 class ActView(msgspec.Struct, frozen=True):
-    """An act that was taken here."""
+    """An act that was accepted here."""
 
     token: int
     source: str
@@ -41,14 +42,14 @@
 
 
 class DutyView(msgspec.Struct, frozen=True):
-    """A duty, as this sender knows it."""
+    """A duty as this sender knows it."""
 
     duty: str
-    holder: str  # empty: nobody is known to hold it
-    token: int  # the highest that is known
-    left_s: float  # of the holder's lease, as last heard
-    here: str  # how far this sender has come with it
-    acts: int  # done by this sender
+    holder: str  # empty if none is known
+    token: int  # the highest known
+    left_s: float  # of the holder's lease, as last reported
+    here: str  # this sender's stage for the duty
+    acts: int  # performed by this sender
     taken: int
     refused: int
     last: tuple[ActView, ...]
@@ -64,7 +65,7 @@
 
 
 class Leases:
-    """The duties of one sender. `lock` is the membership's, set before it is started."""
+    """The duties of one sender. `lock` is replaced by the membership's before that is started."""
 
     def __init__(
         self,
@@ -79,27 +80,28 @@
     ) -> None:
         self.settings, self.name, self.files, self.say = settings, name, files, say
         self.folder, self.path, self.lock = folder, folder / NAME, threading.Lock()
-        self.kept: dict[tuple[str, bool], StoredGrant] = {}
-        self.layer = Duties(name, uid, settings, now, random, self._keep, self._took)
-        self.act_handlers: dict[str, Callable[[bytes], None]] = {}  # on an act, by its first word
-        self._last: dict[str, deque[tuple[float, int, str, bytes]]] = {}
-        self._read()
+        self.stored: dict[tuple[str, bool], StoredGrant] = {}
+        self.layer = Duties(name, uid, settings, now, random, self._store, self._record_act)
+        self.act_handlers: dict[str, Callable[[bytes], None]] = {}  # by an act's first word
+        self._last_acts: dict[str, deque[tuple[float, int, str, bytes]]] = {}
+        self._load()
 
-    def _read(self) -> None:
+    def _load(self) -> None:
         try:
             found = msgspec.msgpack.decode(self.files.read_whole(self.path), type=list[StoredGrant])
         except FileNotFoundError:
             return
         except (OSError, msgspec.DecodeError) as fault:
-            # As if it were new: nothing is granted for a lease's span, and fences are learnt anew.
-            return self.say(f"what was granted before cannot be read: {fault}")
-        for kept in found:
-            self.kept[kept.duty, bool(kept.holder)] = kept
-            self.layer.restore(kept.duty, kept.token, kept.holder, kept.uid)
-
-    def _keep(self, duty: str, token: int, holder: str, uid: int) -> bool:
-        key, kept = (duty, bool(holder)), StoredGrant(duty, token, holder, uid)
-        fresh = {**self.kept, key: kept}
+            # Safe to go on as with a new folder: nothing is granted for one span, and fences are relearned.
+            return self.say(f"stored grants cannot be read: {fault}")
+        for grant in found:
+            self.stored[grant.duty, bool(grant.holder)] = grant
+            self.layer.restore(grant.duty, grant.token, grant.holder, grant.uid)
+
+    def _store(self, duty: str, token: int, holder: str, uid: int) -> bool:
+        """Writes a grant or fence to the folder; False if that failed."""
+        key, grant = (duty, bool(holder)), StoredGrant(duty, token, holder, uid)
+        fresh = {**self.stored, key: grant}
         try:
             new = self.folder / NEW_NAME
             file = self.files.create(new)
@@ -109,51 +111,52 @@
                 self.files.close(file)
             self.files.replace(new, self.path)
         except OSError as fault:
-            self.say(f"a grant of {duty} was not given, since it could not be kept: {fault}")
+            self.say(f"a grant of {duty} was refused, as it could not be stored: {fault}")
             return False
-        self.kept = fresh
+        self.stored = fresh
         return True
 
-    def _took(self, duty: str, token: int, source: str, body: bytes) -> None:
-        line = self._last.setdefault(duty, deque(maxlen=LAST_ACTS))
+    def _record_act(self, duty: str, token: int, source: str, body: bytes) -> None:
+        """Keeps an accepted act for `view`, and calls the handler of its first word."""
+        line = self._last_acts.setdefault(duty, deque(maxlen=MAX_SHOWN_ACTS))
         line.append((time.monotonic(), token, source, body))
         word = body.partition(b" ")[0].decode("ascii", "replace")
         if word in self.act_handlers:
             self.act_handlers[word](body.partition(b" ")[2])
 
     def before(self, now: float) -> None:
-        """Say what became of duties here."""
-        while self.layer.news:
-            self.say(self.layer.news.pop(0))
+        """Logs what has changed since the last round."""
+        while self.layer.log_lines:
+            self.say(self.layer.log_lines.pop(0))
 
     def holds(self, duty: str) -> bool:
-        """Whether this sender may act on a duty at this moment; any thread."""
+        """Whether this sender may act under the duty now. May be called from any thread."""
         with self.lock:
             return self.layer.token(duty, time.monotonic()) is not None
 
     def act(self, duty: str, body: bytes) -> bool:
-        """Do something everywhere under a duty; False if it is not held here. Any thread."""
+        """Sends an act to all members; False if the duty is not held here. May be called from any thread."""
         with self.lock:
             return self.layer.act(time.monotonic(), duty, body) is not None
 
     def reload(self, settings: LeaseSettings) -> None:
-        """Take other settings, under the lock."""
+        """Applies new settings. The caller holds the lock."""
         self.settings = settings
         self.layer.configure(settings)
 
     def view(self) -> LeaseView:
-        """For who asks."""
+        """The present state for operators. May be called from any thread."""
         with self.lock:
             now, found = time.monotonic(), []
             for name, duty in sorted(self.layer.duties.items()):
                 alive = duty.holder and now < duty.holder_until
                 last = tuple(
                     ActView(token, source, round(now - at, 3), body.decode("ascii", "replace"))
-                    for at, token, source, body in self._last.get(name, ())
+                    for at, token, source, body in self._last_acts.get(name, ())
                 )
                 here = duty.stage.value
                 if duty.stage is Stage.HELD and self.layer.token(name, now) is None:
-                    here = "lapsed"  # its own clock says so, and the next tick will
+                    here = "lapsed"  # the lease has run out, and the next tick will change the stage
                 found.append(
                     DutyView(
                         name,
@@ -162,7 +165,7 @@
                         round(max(0.0, duty.holder_until - now), 3) if alive else 0.0,
                         here,
                         duty.acts,
-                        duty.taken,
+                        duty.accepted,
                         duty.refused,
                         last,
                     )
--- a/willownotch/lease/settings.py
+++ b/willownotch/lease/settings.py
@@ -1,4 +1,5 @@
-"""The `lease` block of the settings file. Off unless it names electors and duties; needs `peers`."""
+"""The `lease` block of the settings file. Leases are off unless it names electors and duties; they need the
+`peers` block."""
 
 from __future__ import annotations
 
@@ -9,30 +10,30 @@
 
 from willownotch.settings.types import CountType, DurationType, ListType, NamedBlocks, TextType
 
-MOST = timedelta(minutes=10)
+MAX_SPAN = timedelta(minutes=10)
 
 
 class DutySettings(msgspec.Struct, frozen=True):
-    """One duty."""
+    """Settings of one duty."""
 
-    canary: Annotated[timedelta, DurationType(timedelta(milliseconds=10), MOST)] | None = None  # between acts
-    # that do nothing but show that the duty is held
+    canary: Annotated[timedelta, DurationType(timedelta(milliseconds=10), MAX_SPAN)] | None = None  # between
+    # acts whose only purpose is to show that the duty is held
 
 
 class LeaseSettings(msgspec.Struct, frozen=True):
-    """Who grants duties, which there are, and for how long one is granted."""
+    """Which members grant duties, which duties there are, and how long a lease is."""
 
-    electors: Annotated[tuple[str, ...], ListType(TextType("a sender's name"))] = ()  # the same everywhere
-    span: Annotated[timedelta, DurationType(timedelta(milliseconds=200), MOST)] = timedelta(seconds=3)
-    candidates: Annotated[int, CountType(1, 64)] = 3  # that ask for a duty, the best placed of those there
+    electors: Annotated[tuple[str, ...], ListType(TextType("a sender's name"))] = ()  # alike on all senders
+    span: Annotated[timedelta, DurationType(timedelta(milliseconds=200), MAX_SPAN)] = timedelta(seconds=3)
+    candidates: Annotated[int, CountType(1, 64)] = 3  # best-ranked alive members that may request a duty
     duty: Annotated[dict[str, DutySettings], NamedBlocks(DutySettings)] = {}
 
     def enabled(self) -> bool:
-        """Whether there is anything to hold."""
+        """Whether both electors and duties are set."""
         return bool(self.electors) and bool(self.duty)
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together."""
+        """Settings that contradict each other: the name of one, and the message."""
         found = []
         if len(set(self.electors)) != len(self.electors):
             found.append(("electors", "'electors' names one twice, allowed: each once"))
