--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -24,14 +24,14 @@
 def trial(seed: int, what: str, storm: bool) -> tuple[float, int]:
     """Seconds without a holder, and acts of the old one that were taken after the new one's first."""
     span = timedelta(seconds=STORM_SPAN_S if storm else SPAN_S)
-    fleet = Fleet(seed, asked=LeaseSettings(electors=ELECTORS, span=span, duty={"fold": DutySettings()}))
+    fleet = Fleet(seed, lease=LeaseSettings(electors=ELECTORS, span=span, duty={"fold": DutySettings()}))
     fleet.net.run(1.0)
-    first, _ = fleet.held(30.0)
+    first, _ = fleet.wait_held(30.0)
     conditions = fleet.net.conditions
     if storm:
         conditions.loss, conditions.delay = 0.3, 0.3
         fleet.net.run(fleet.net.now + 2.0)
-        first, _ = fleet.held(60.0)
+        first, _ = fleet.wait_held(60.0)
     old = fleet.duties[first].duties["fold"].token
     if what == "cut":
         few = {first, next(n for n in ELECTORS if n != first)}
@@ -55,20 +55,20 @@
     second = another()[0]
     fleet.act(second, b"new")
     fleet.net.run(fleet.net.now + 1.0)
-    taken = {name for name, _, _, body in fleet.taken if body == b"new"}
+    taken = {name for name, _, _, body in fleet.accepted if body == b"new"}
     stale = Act(first, "fold", old, 10**6, fleet.duties[first].uid, 1000, b"stale")
     for name in taken - {first}:
         fleet.net._post(first, fleet.net.addresses[name], stale)
     conditions.cut = lambda a, b: False
     fleet.net.paused.discard(first)
     fleet.net.run(fleet.net.now + 2.0)
-    return took, sum(body == b"stale" for name, _, _, body in fleet.taken if name in taken)
+    return took, sum(body == b"stale" for name, _, _, body in fleet.accepted if name in taken)
 
 
 def traffic(number: int) -> tuple[float, float]:
     """Datagrams and bytes of duties alone that a member sends a second, the busiest one."""
     asked = LeaseSettings(electors=ELECTORS, span=timedelta(seconds=3), duty={"fold": DutySettings()})
-    fleet = Fleet(1, number=5, asked=asked)
+    fleet = Fleet(1, number=5, lease=asked)
     for n in range(5, number):
         fleet.folders[f"m{n}"] = {}
         fleet.start(f"m{n}", ("m0",))
--- a/benchmarks/lease_raft.py
+++ b/benchmarks/lease_raft.py
@@ -22,7 +22,7 @@
 import time
 from pathlib import Path
 
-from test_lease_sockets import Leasing
+from test_lease_sockets import LeaseFleet
 
 MEMBERS, LEASE_S, STOPPED_S, STEADY_S = 5, 1.0, 3.0, 10.0
 PATIENCE = 30.0
@@ -99,7 +99,7 @@
 
     def __init__(self, ahead: float = 0.0) -> None:
         del ahead  # no time of day is read
-        self.fleet = Leasing(MEMBERS, Path(tempfile.mkdtemp())).joined(PATIENCE)
+        self.fleet = LeaseFleet(MEMBERS, Path(tempfile.mkdtemp())).wait_joined(PATIENCE)
         self.processes = [s.process for s in self.fleet.senders]
 
     def holders(self, among) -> list[int]:
