--- a/tests/test_controlplane_document.py
+++ b/tests/test_controlplane_document.py
@@ -1,4 +1,4 @@
-"""The document's rules, as properties: commits, differences, digests, conflicts, roll-back."""
+"""Properties of the document: commits, deltas, digests, conflicts, roll-back."""
 
 import msgspec
 import pytest
@@ -7,12 +7,12 @@
 
 from willownotch.controlplane.document import (
     BUCKETS,
-    CHANGE_MOST,
     DIGEST_BYTES,
     GROUPS,
-    KEY_MOST,
+    MAX_CHANGE_BYTES,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
     MODULUS,
-    VALUE_MOST,
     Change,
     Commit,
     Delta,
@@ -23,13 +23,13 @@
     entry_hash,
 )
 
-KEYS = st.sampled_from([f"k{n}" for n in range(8)] + ["κ", "a/b.c", "k" * KEY_MOST])
+KEYS = st.sampled_from([f"k{n}" for n in range(8)] + ["κ", "a/b.c", "k" * MAX_KEY_BYTES])
 VALUES = st.sampled_from([b"1", b"2", b'"three"', b""])
 
 
 @st.composite
 def edits(draw):
-    """What one change sets and removes: never the same key in both, never nothing."""
+    """The keys that one change sets and removes: at least one, and none in both."""
     sets = draw(st.dictionaries(KEYS, VALUES, max_size=4))
     removes = draw(st.lists(KEYS.filter(lambda key: key not in sets), unique=True, max_size=3))
     return (sets, tuple(removes)) if sets or removes else ({"k0": b"1"}, ())
@@ -38,7 +38,7 @@
 HISTORIES = st.lists(edits(), min_size=1, max_size=12)
 
 
-def committed(document, sets, removes=(), token=1):
+def commit_next(document, sets, removes=(), token=1):
     number = document.revision + 1
     change = Change(number.to_bytes(16, "big"), "a", document.revision, sets, removes)
     check_change(change)
@@ -47,13 +47,13 @@
     return commit
 
 
-def grown(history, most=4096):
-    """A document by its commits, and its entries after each, by a plain dict."""
-    document, plain, states = Document(most), {}, [{}]
+def document_of(history, most=4096):
+    """A document with a history of commits, and a dict of its entries after each."""
+    document, entries, states = Document(most), {}, [{}]
     for sets, removes in history:
-        committed(document, sets, removes, token=document.token + 1)
-        plain = {key: value for key, value in (plain | sets).items() if key not in removes}
-        states.append(plain)
+        commit_next(document, sets, removes, token=document.token + 1)
+        entries = {key: value for key, value in (entries | sets).items() if key not in removes}
+        states.append(entries)
     return document, states
 
 
@@ -62,22 +62,22 @@
 
 
 @given(HISTORIES)
-def test_commits_deltas_and_the_whole_come_to_the_same(history):
-    document, states = grown(history)
+def test_commits_a_delta_and_a_snapshot_make_the_same_document(history):
+    document, states = document_of(history)
     assert dict(document.items()) == states[-1] and document.count == len(states[-1])
     entries = reversed(list(document.items()))
-    whole = Document.whole(document.revision, document.token, entries, document.digest)
+    whole = Document.from_entries(document.revision, document.token, entries, document.digest)
     follower = Document()
     follower.apply(document.delta(0))
     assert state_of(whole) == state_of(document) == state_of(follower) == state_of(document.copy())
 
 
 @given(HISTORIES, st.data())
-def test_any_path_of_deltas_makes_the_same_digest(history, data):
+def test_any_series_of_deltas_makes_the_same_document(history, data):
     stops = sorted(data.draw(st.sets(st.integers(1, len(history)), max_size=4)) | {len(history)})
     source, follower = Document(), Document()
     for number, (sets, removes) in enumerate(history, 1):
-        committed(source, sets, removes, token=number)
+        commit_next(source, sets, removes, token=number)
         if number in stops:
             data = msgspec.msgpack.encode(source.delta(follower.revision))
             follower.apply(msgspec.msgpack.decode(data, type=Delta))
@@ -85,8 +85,8 @@
 
 
 @given(HISTORIES)
-def test_a_delta_that_was_applied_is_refused_when_it_is_repeated(history):
-    document, _ = grown(history)
+def test_a_delta_is_refused_when_it_is_applied_again(history):
+    document, _ = document_of(history)
     delta, follower = document.delta(0), Document()
     follower.apply(delta)
     before = state_of(follower)
@@ -98,9 +98,9 @@
 @pytest.mark.parametrize("wrong", ["digest", "since", "revision", "token", "entry", "key", "twice"])
 @given(history=HISTORIES)
 def test_a_wrong_delta_changes_nothing(wrong, history):
-    document, _ = grown(history)
+    document, _ = document_of(history)
     half = Document()
-    half.apply(grown(history[:-1])[0].delta(0)) if len(history) > 1 else None
+    half.apply(document_of(history[:-1])[0].delta(0)) if len(history) > 1 else None
     delta = document.delta(half.revision)
     replace = msgspec.structs.replace
     delta = {
@@ -116,13 +116,13 @@
     with pytest.raises(DocumentError):
         half.apply(delta)
     assert state_of(half) == before
-    half.apply(document.delta(half.revision))  # and it can still go on
+    half.apply(document.delta(half.revision))  # the right delta still applies
     assert state_of(half) == state_of(document)
 
 
 @given(HISTORIES)
 def test_a_wrong_commit_changes_nothing(history):
-    document, _ = grown(history)
+    document, _ = document_of(history)
     change = Change(bytes(16), "a", document.revision, {"k0": b"new"})
     right = Commit(document.revision + 1, document.token, change, document.digest_after(change))
     replace = msgspec.structs.replace
@@ -135,24 +135,24 @@
     ):
         with pytest.raises(DocumentError):
             document.commit(wrong)
-        assert state_of(document) == before and document.found(change.id) is None
+        assert state_of(document) == before and document.committed_revision(change.id) is None
     document.commit(right)
-    assert document.found(change.id) == right.revision
+    assert document.committed_revision(change.id) == right.revision
 
 
 @given(HISTORIES, st.data())
-def test_undo_gives_the_entries_of_an_earlier_revision(history, data):
-    document, states = grown(history)
+def test_edits_to_restore_give_the_entries_of_an_earlier_revision(history, data):
+    document, states = document_of(history)
     revision = data.draw(st.integers(0, document.revision))
     sets, removes = document.edits_to_restore(revision)
     if sets or removes:
-        committed(document, sets, removes, token=document.token)
+        commit_next(document, sets, removes, token=document.token)
     assert dict(document.items()) == states[revision]
 
 
 @given(HISTORIES, edits(), st.data())
 def test_a_conflict_names_the_last_commit_that_touched_a_key(history, edit, data):
-    document, _ = grown(history)
+    document, _ = document_of(history)
     base = data.draw(st.integers(0, document.revision))
     change = Change(bytes(16), "b", base, *edit)
     keys = set(edit[0]) | set(edit[1])
@@ -167,7 +167,7 @@
 
 @given(HISTORIES)
 def test_digests_of_groups_and_buckets_are_those_of_their_entries(history):
-    document, states = grown(history)
+    document, states = document_of(history)
     sums = [0] * BUCKETS
     for key, value in states[-1].items():
         sums[bucket_of(key)] = (sums[bucket_of(key)] + entry_hash(key, value)) % MODULUS
@@ -182,26 +182,29 @@
 
 
 @given(HISTORIES)
-def test_a_digest_tells_any_two_different_states_apart(history):
-    document, states = grown(history)
+def test_different_states_have_different_digests(history):
+    document, states = document_of(history)
     digests = {}
     for revision, entries in enumerate(states):
         whole = Document()
         sets = dict(entries)
         if sets:
-            committed(whole, sets)
+            commit_next(whole, sets)
         digests.setdefault(whole.digest, []).append(revision)
     for same in digests.values():
         assert all(states[n] == states[same[0]] for n in same)
 
 
-def test_what_a_short_history_forgets_is_said():
-    document, _ = grown([({f"k{n}": b"1"}, ()) for n in range(10)], most=4)
+def test_a_short_history_reports_what_it_no_longer_has():
+    document, _ = document_of([({f"k{n}": b"1"}, ()) for n in range(10)], most=4)
     assert document.oldest() == 6 and document.commits(5) is None and document.delta(5) is None
     assert [commit.revision for commit in document.commits(6)] == [7, 8, 9, 10]
     assert document.delta(10) == Delta(10, 10, document.token, {}, (), document.digest)
     assert document.commits(11) is None
-    assert document.found((6).to_bytes(16, "big")) is None and document.found((7).to_bytes(16, "big")) == 7
+    assert (
+        document.committed_revision((6).to_bytes(16, "big")) is None
+        and document.committed_revision((7).to_bytes(16, "big")) == 7
+    )
     with pytest.raises(DocumentError, match="older than is remembered"):
         document.conflict(Change(bytes(16), "a", 5, {"k0": b"1"}))
     with pytest.raises(DocumentError, match="the last is 10"):
@@ -212,36 +215,39 @@
         document.edits_to_restore(11)
 
 
-def test_a_whole_document_of_another_digest_is_refused():
-    document, _ = grown([({"k0": b"1", "k1": b"2"}, ())])
+def test_entries_with_another_digest_are_refused():
+    document, _ = document_of([({"k0": b"1", "k1": b"2"}, ())])
     with pytest.raises(DocumentError, match="another digest"):
-        Document.whole(1, 1, [("k0", b"1")], document.digest)
+        Document.from_entries(1, 1, [("k0", b"1")], document.digest)
 
 
-def test_a_copy_stands_apart():
-    document, _ = grown([({"k0": b"1"}, ())])
+def test_a_copy_is_independent():
+    document, _ = document_of([({"k0": b"1"}, ())])
     copy = document.copy()
-    committed(document, {"k0": b"2"})
+    commit_next(document, {"k0": b"2"})
     assert copy.get("k0") == b"1" and copy.revision == 1 and copy.commits(0) is None
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         (Change(bytes(15), "a", 0, {"k": b"1"}), "16 bytes"),
         (Change(bytes(16), "a", 0, {}), "empty"),
         (Change(bytes(16), "a", 0, {"k": b"1"}, ("k",)), "both set and removed"),
         (Change(bytes(16), "a", 0, {}, ("k", "k")), "twice"),
         (Change(bytes(16), "a", 0, {"": b"1"}), "empty or too long"),
-        (Change(bytes(16), "a", 0, {"κ" * (KEY_MOST // 2 + 1): b"1"}), "empty or too long"),
-        (Change(bytes(16), "a", 0, {"k": bytes(VALUE_MOST + 1)}), "up to 65536"),
-        (Change(bytes(16), "a", 0, {f"k{n}": bytes(VALUE_MOST) for n in range(8)}), f"up to {CHANGE_MOST}"),
+        (Change(bytes(16), "a", 0, {"κ" * (MAX_KEY_BYTES // 2 + 1): b"1"}), "empty or too long"),
+        (Change(bytes(16), "a", 0, {"k": bytes(MAX_VALUE_BYTES + 1)}), "up to 65536"),
+        (
+            Change(bytes(16), "a", 0, {f"k{n}": bytes(MAX_VALUE_BYTES) for n in range(8)}),
+            f"up to {MAX_CHANGE_BYTES}",
+        ),
     ],
 )
-def test_bounds_of_a_change(change, said):
-    with pytest.raises(DocumentError, match=said):
+def test_bounds_of_a_change(change, message):
+    with pytest.raises(DocumentError, match=message):
         check_change(change)
 
 
-def test_a_change_at_its_bounds_is_taken():
-    check_change(Change(bytes(16), "a", 0, {"k" * KEY_MOST: bytes(VALUE_MOST)}))
+def test_a_change_at_its_bounds_is_valid():
+    check_change(Change(bytes(16), "a", 0, {"k" * MAX_KEY_BYTES: bytes(MAX_VALUE_BYTES)}))
--- a/willownotch/controlplane/commit.py
+++ b/willownotch/controlplane/commit.py
@@ -1,15 +1,17 @@
 """Agreement among the members: one sequence of revisions, each accepted by a majority of the voters.
 
-One member is the writer, likely one by the lease `config`, and safe whatever the lease does: see `agreement`
-for the rules, `voter` for what a member keeps, `writer` for how changes are proposed, `catchup` for members
-that lack commits. Here these are one core: messages and times in, messages, results and commits out. No I/O,
-no clock, no threads; random numbers and the folder are handed in.
+The lease `config` makes it likely that exactly one member is the writer; agreement stays safe if several
+members believe that they hold it. `agreement` has the rules, `voter` the state that a member stores, `writer`
+how changes are proposed, and `catchup` how members get commits that they lack. `AgreementCore` joins these:
+it takes messages and times, and returns messages, results and commits. It has no I/O, no clock and no
+threads; its random numbers and the function that writes to the folder are passed in.
 
 Why not a library: a Raft library was measured for leases (`benchmarks/results/lease-raft.md`); see
 `docs/control-plane.md`.
 
-An author asks for a change by its id and gets one outcome. All are final but `UNKNOWN`, after which it asks
-again, at any member, by the same id and with the same change: one asking of an id after the other.
+An author submits a change under an id and gets one outcome. All are final but `UNKNOWN`, after which the
+author submits the same change under the same id again, at any member. It must not submit one id twice at a
+time.
 """
 
 from __future__ import annotations
@@ -22,34 +24,34 @@
 import msgspec
 
 from willownotch.controlplane.agreement import (
-    NONE,
+    NO_BALLOT,
     Accept,
-    Answer,
     Ballot,
-    Beat,
+    CatchUpRequest,
     CommitBatch,
+    Heartbeat,
     Message,
     Outcome,
-    Piece,
     Prepare,
     Promise,
     Record,
     Recover,
     Recovered,
+    SnapshotReply,
     Submit,
+    SubmitReply,
     Vote,
-    Want,
 )
 from willownotch.controlplane.catchup import CatchUp
 from willownotch.controlplane.document import Change, Commit, Document
-from willownotch.controlplane.voter import Keep, Recovery, Voter
-from willownotch.controlplane.writer import Check, Stage, Writer
+from willownotch.controlplane.voter import Persist, Recovery, Voter
+from willownotch.controlplane.writer import ChangeCheck, Stage, Writer
 
 __all__ = [
     "AgreementTiming",
     "AgreementView",
     "AgreementCore",
-    "Keep",
+    "Persist",
     "Message",
     "Outcome",
     "Record",
@@ -60,7 +62,7 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What became of a change that was asked for here. `revision`: its own, or that of what it lost to."""
+    """The outcome of a change submitted here. `revision` is its own, or that of the commit it lost to."""
 
     id: bytes
     outcome: Outcome
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message to another member."""
+    """A message to another member, by that member's name."""
 
     name: str
     message: Message
@@ -78,55 +80,56 @@
 
 @dataclass(frozen=True, slots=True)
 class AgreementTiming:
-    """Spans in s, and bounds."""
+    """Timing and queue limits of the agreement."""
 
-    again: float = 0.3  # until what was not answered is asked again
-    beat: float = 1.0  # between two heartbeats of the writer
-    patience: float = 10.0  # for an outcome; then it is unknown
-    queue: int = 64  # changes that wait at the writer
-    asks: int = 64  # that are asked for here and not answered yet
-    tell: float = 10.0  # between two lines of a voter that cannot vote
+    retry_s: float = 0.3  # between retries of requests that were not answered
+    heartbeat_s: float = 1.0  # between heartbeats of the writer
+    outcome_timeout_s: float = 10.0  # for an outcome; after it, the outcome is unknown
+    max_queued: int = 64  # changes that wait at the writer
+    max_submissions: int = 64  # changes submitted at this member without an outcome yet
+    status_interval_s: float = 10.0  # between log lines of a voter that cannot vote
 
 
 class AgreementView(msgspec.Struct, frozen=True):
-    """How agreement goes here, for who asks."""
+    """The state of the agreement at this member, for operators."""
 
     name: str
     voting: bool
-    why: str  # it does not vote; else empty
-    stage: str  # of this member as the writer
-    writer: str  # as last heard, empty: of none
+    why: str  # why it does not vote; empty if it does
+    stage: str  # of this member as a writer
+    writer: str  # as last heard of; empty if none is known
     ballot: Ballot  # the writer's
     promised: Ballot
-    pending: int  # the revision of what is accepted and not known to be committed, or 0
+    pending: int  # revision of what is accepted and not known to be committed, or 0
     revision: int
     token: int
-    behind: int  # revisions that others are known to have, and this member lacks
+    behind: int  # number of revisions that this member is known to lack
     incarnations: dict[str, int]
-    waiting: int  # at this member as the writer
-    asking: int  # for authors here
+    waiting: int  # changes queued or proposed at this member as the writer
+    asking: int  # changes submitted here without an outcome yet
     folder_failing: bool
     counts: dict[str, int]
 
 
 @dataclass(slots=True)
-class Asking:
-    """A change that an author waits for here."""
+class Submission:
+    """A change that was submitted at this member and has no outcome yet."""
 
     change: Change
-    until: float
-    ballot: Ballot = NONE  # of the writer that was asked last
-    again_at: float = -1e9
+    expires_at: float
+    ballot: Ballot = NO_BALLOT  # of the writer that it was last sent to
+    resubmit_at: float = -1e9
 
 
 class AgreementCore:
     """One member's part in the agreement: voter, learner, and writer while it holds the lease.
 
-    `document` is empty and is brought up to `restored`, the folder's records in order (`DocumentError` where
-    they do not make a document); `keep` adds records to it before anything is answered. `bootstrap` is said
-    at the first start of all members alone: without it, an empty folder is taken for one that was lost. `uid`
-    is random and this process's own. The caller empties `results`, `committed` and `said`, and looks at
-    `installed`: a document that was moved on by a snapshot has no commits to tell.
+    `document` is empty; the constructor applies `restored`, the folder's records in order, and raises
+    `DocumentError` if they do not form a document. `persist` stores records before any reply depends on
+    them. `bootstrap` is set only when all members start for the first time: without it, an empty folder
+    counts as a lost one. `uid` is random and unique to this process. The caller drains `results`,
+    `committed` and `log_lines`, and watches `snapshots_installed`: a snapshot advances the document without
+    adding to `committed`.
     """
 
     def __init__(
@@ -135,138 +138,141 @@
         uid: int,
         voters: tuple[str, ...],
         document: Document,
-        keep: Keep,
+        persist: Persist,
         now: float,
         random: Random,
-        pace: AgreementTiming | None = None,
-        check: Check = lambda document, change: None,
+        timing: AgreementTiming | None = None,
+        check: ChangeCheck = lambda document, change: None,
         restored: Iterable[Record] = (),
         bootstrap: bool = False,
     ) -> None:
         if name not in voters:
             raise ValueError(f"{name!r} is not one of the voters: {', '.join(voters)}")
         self.name, self.voters, self.document = name, voters, document
-        self.pace = pace or AgreementTiming()
-        self.voter = Voter(name, voters, document, keep, restored, bootstrap)
-        self.writer = Writer(self.voter, uid, check, self.pace.queue, self.pace.again, random, self._send)
+        self.timing = timing or AgreementTiming()
+        self.voter = Voter(name, voters, document, persist, restored, bootstrap)
+        self.writer = Writer(
+            self.voter, uid, check, self.timing.max_queued, self.timing.retry_s, random, self._send
+        )
         self.catchup = CatchUp(self.voter, self._send)
         self.recovery = None if self.voter.voting else Recovery(self.voter, uid)
         self.results: list[Result] = []
         self.committed: list[Commit] = []
         self.counts, self.log_lines = self.voter.counts, self.voter.log_lines
-        self.leader, self.leader_ballot = "", NONE  # the writer, as last heard
-        self.asks: dict[bytes, Asking] = {}
-        self._out: list[Send] = []
-        self._own: deque[Message] = deque()  # to itself
-        self._beat_at = self._recover_at = self._due = now
-        self._tell_at = now + self.pace.again
-        self._beaten = NONE
-        self._differs = -1  # revision at which another member's digest was another
-        self._takes: dict[type, Callable[[float, str, Message], None]] = {
+        self.leader, self.leader_ballot = "", NO_BALLOT  # of the writer that was last heard of
+        self.submissions: dict[bytes, Submission] = {}
+        self._outbox: list[Send] = []
+        self._to_self: deque[Message] = deque()  # messages to this member
+        self._heartbeat_at = self._recovery_at = self._due = now
+        self._status_at = now + self.timing.retry_s
+        self._announced_ballot = NO_BALLOT
+        self._differing_revision = -1  # the last revision at which another member's digest differed
+        self._handlers: dict[type, Callable[[float, str, Message], None]] = {
             Prepare: self._on_prepare,
             Promise: self._on_promise,
             Accept: self._on_accept,
             Vote: self._on_vote,
-            Beat: self._on_beat,
-            Want: self.catchup.wanted,
-            CommitBatch: self.catchup.commits,
-            Piece: self.catchup.piece,
+            Heartbeat: self._on_heartbeat,
+            CatchUpRequest: self.catchup.on_request,
+            CommitBatch: self.catchup.on_commits,
+            SnapshotReply: self.catchup.on_snapshot_reply,
             Submit: self._on_submit,
-            Answer: self._on_answer,
+            SubmitReply: self._on_submit_reply,
             Recover: self._on_recover,
             Recovered: self._on_recovered,
         }
 
-    # What the edge calls
+    # Called by the member
 
     def due(self) -> float:
-        """When the next tick is wanted."""
+        """The time of the next tick."""
         return self._due
 
     def tick(self, now: float) -> list[Send]:
-        """Let time pass."""
+        """Handle timeouts and retries that are due; returns the messages to send."""
         self.voter.flush()
         self.catchup.tick(now)
-        self._recover(now)
+        self._tick_recovery(now)
         self.writer.tick(now)
-        if self.writer.stage is Stage.LEADING and now >= self._beat_at:
-            self._beat(now)
-        for asking in list(self.asks.values()):
-            if now >= asking.until:
-                self._result(
-                    asking.change.id,
+        if self.writer.stage is Stage.LEADING and now >= self._heartbeat_at:
+            self._send_heartbeat(now)
+        for submission in list(self.submissions.values()):
+            if now >= submission.expires_at:
+                self._finish(
+                    submission.change.id,
                     Outcome.UNKNOWN,
                     0,
-                    ("no answer of the writer" if asking.ballot != NONE else "no writer is known")
-                    + f" within {self.pace.patience:g} s: ask again by the id {asking.change.id.hex()}",
+                    ("the writer did not answer" if submission.ballot != NO_BALLOT else "no writer is known")
+                    + f" within {self.timing.outcome_timeout_s:g} s: "
+                    f"submit the change again by the id {submission.change.id.hex()}",
                 )
             else:
-                self._route(now, asking)
+                self._forward(now, submission)
         busy = (
-            self.asks
+            self.submissions
             or self.catchup.behind
             or self.recovery is not None
-            or self.voter.unkept
+            or self.voter.unpersisted
             or self.writer.stage is Stage.PREPARING
             or self.writer.proposal is not None
         )
-        self._due = now + min(self.pace.again, self.pace.beat) / (3 if busy else 1)
-        return self._settle(now)
+        self._due = now + min(self.timing.retry_s, self.timing.heartbeat_s) / (3 if busy else 1)
+        return self._process(now)
 
     def receive(self, now: float, source: str, message: object) -> list[Send]:
-        """A message of another member."""
+        """Handle a message from another member; returns the messages to send."""
         if source not in self.voters:
             self.counts["from a non-voter"] += 1
             return []
-        if type(message) not in self._takes:
+        if type(message) not in self._handlers:
             self.counts["unknown message"] += 1
             return []
-        self._takes[type(message)](now, source, message)
-        return self._settle(now)
+        self._handlers[type(message)](now, source, message)
+        return self._process(now)
 
     def lead(self, now: float, token: int | None) -> list[Send]:
-        """What the lease says at this moment: the token that this member may write under, or None."""
+        """Update the lease: `token` is the one that this member may write under, None without the lease."""
         self.writer.lead(now, token)
         self.writer.tick(now)
-        return self._settle(now)
+        return self._process(now)
 
     def submit(self, now: float, change: Change) -> list[Send]:
-        """An author asks for a change, or asks again; the outcome comes in `results`."""
-        if (revision := self.document.found(change.id)) is not None:
-            self._result(change.id, Outcome.COMMITTED, revision, "")
-        elif len(self.asks) >= self.pace.asks and change.id not in self.asks:
-            self._result(
+        """Submit a change, or submit it again; the outcome is added to `results`."""
+        if (revision := self.document.committed_revision(change.id)) is not None:
+            self._finish(change.id, Outcome.COMMITTED, revision, "")
+        elif len(self.submissions) >= self.timing.max_submissions and change.id not in self.submissions:
+            self._finish(
                 change.id,
                 Outcome.UNKNOWN,
                 0,
-                f"{len(self.asks)} changes wait here already: nothing was done, ask again",
+                f"{len(self.submissions)} changes already wait at this member: nothing was done, try again",
             )
         else:
-            asking = self.asks.setdefault(change.id, Asking(change, 0.0))
-            asking.until = now + self.pace.patience
-            self._route(now, asking)
-        return self._settle(now)
+            submission = self.submissions.setdefault(change.id, Submission(change, 0.0))
+            submission.expires_at = now + self.timing.outcome_timeout_s
+            self._forward(now, submission)
+        return self._process(now)
 
     @property
     def snapshots_installed(self) -> int:
-        """How many snapshots were taken in so far."""
+        """The number of snapshots that were installed so far."""
         return self.voter.snapshots_installed
 
     def records(self) -> list[Record]:
-        """All that a new folder needs; `rewritten` is called once it is there."""
+        """All records that the folder needs, for a rewrite; call `on_rewritten` once they are stored."""
         return self.voter.records()
 
     def on_rewritten(self) -> None:
-        """The folder was written anew, with what `records` gave."""
+        """The folder was rewritten with the result of `records`."""
         self.voter.on_rewritten()
 
     def view(self) -> AgreementView:
-        """For who asks."""
+        """The state to show to operators."""
         voter, writer = self.voter, self.writer
         return AgreementView(
             self.name,
             voter.voting,
-            self.recovery.text() if self.recovery is not None else "",
+            self.recovery.status() if self.recovery is not None else "",
             writer.stage.value,
             self.leader,
             self.leader_ballot,
@@ -274,136 +280,136 @@
             voter.pending.revision if voter.pending is not None else 0,
             self.document.revision,
             self.document.token,
-            max(0, self.catchup.head - self.document.revision),
+            max(0, self.catchup.latest_known - self.document.revision),
             dict(voter.vector),
             len(writer.queue) + (writer.proposal is not None),
-            len(self.asks),
-            voter.failing,
+            len(self.submissions),
+            voter.persist_failing,
             dict(self.counts),
         )
 
-    # Inside
+    # Internals
 
     def _send(self, name: str, message: Message) -> None:
         if name == self.name:
-            self._own.append(message)
+            self._to_self.append(message)
         else:
-            self._out.append(Send(name, message))
+            self._outbox.append(Send(name, message))
 
     def _reply(self, name: str, message: Message | None) -> None:
         if message is not None:
             self._send(name, message)
 
-    def _settle(self, now: float) -> list[Send]:
-        """Go on until there is nothing more to do here; what goes to the others."""
+    def _process(self, now: float) -> list[Send]:
+        """Process messages to this member until none are left; returns the messages to send to others."""
         while True:
             if self.recovery is not None:
-                self._on_recovery(now)
-            self.writer.proceed(now)
-            if self.writer.stage is Stage.LEADING and self._beaten != self.writer.ballot:
-                self._beat(now)
+                self._advance_recovery(now)
+            self.writer.advance(now)
+            if self.writer.stage is Stage.LEADING and self._announced_ballot != self.writer.ballot:
+                self._send_heartbeat(now)
             if self.voter.committed:
-                self._news(now)
-            elif self._own:
-                message = self._own.popleft()
-                self._takes[type(message)](now, self.name, message)
+                self._publish_commits(now)
+            elif self._to_self:
+                message = self._to_self.popleft()
+                self._handlers[type(message)](now, self.name, message)
             else:
                 break
-        sent, self._out = self._out, []
+        sent, self._outbox = self._outbox, []
         return sent
 
-    def _news(self, now: float) -> None:
+    def _publish_commits(self, now: float) -> None:
         commits, self.voter.committed = self.voter.committed, []
         self.committed += commits
         for commit in commits:
-            if commit.change.id in self.asks:
-                self._result(commit.change.id, Outcome.COMMITTED, commit.revision, "")
+            if commit.change.id in self.submissions:
+                self._finish(commit.change.id, Outcome.COMMITTED, commit.revision, "")
             if self.writer.stage is Stage.LEADING:
                 for name in self.voters:
                     if name != self.name:
                         self._send(name, CommitBatch(self.document.revision, (commit,)))
 
-    def _beat(self, now: float) -> None:
-        self._beaten, self._beat_at = self.writer.ballot, now + self.pace.beat
+    def _send_heartbeat(self, now: float) -> None:
+        self._announced_ballot, self._heartbeat_at = self.writer.ballot, now + self.timing.heartbeat_s
         for name in self.voters:
-            self._send(name, Beat(self.writer.ballot, self.document.revision, self.document.digest))
+            self._send(name, Heartbeat(self.writer.ballot, self.document.revision, self.document.digest))
 
-    def _route(self, now: float, asking: Asking) -> None:
-        """Ask the writer, again if it has not answered, and the next one at once."""
-        if self.leader and (asking.ballot != self.leader_ballot or now >= asking.again_at):
-            asking.ballot, asking.again_at = self.leader_ballot, now + self.pace.beat
-            self._send(self.leader, Submit(self.leader_ballot, asking.change))
+    def _forward(self, now: float, submission: Submission) -> None:
+        """Send a change to the writer: at once to a new one, again if it has not answered."""
+        if self.leader and (submission.ballot != self.leader_ballot or now >= submission.resubmit_at):
+            submission.ballot, submission.resubmit_at = self.leader_ballot, now + self.timing.heartbeat_s
+            self._send(self.leader, Submit(self.leader_ballot, submission.change))
 
-    def _result(self, change_id: bytes, outcome: Outcome, revision: int, text: str) -> None:
-        self.asks.pop(change_id, None)
+    def _finish(self, change_id: bytes, outcome: Outcome, revision: int, text: str) -> None:
+        self.submissions.pop(change_id, None)
         self.results.append(Result(change_id, outcome, revision, text))
 
-    def _recover(self, now: float) -> None:
+    def _tick_recovery(self, now: float) -> None:
         if self.recovery is None:
             return
-        if now >= self._recover_at:
-            self._recover_at = now + self.pace.again
-            self._out += [Send(name, message) for name, message in self.recovery.asks()]
-        if now >= self._tell_at:
-            self._tell_at = now + self.pace.tell
-            self.log_lines.append(self.recovery.text())
-
-    def _on_recovery(self, now: float) -> None:
+        if now >= self._recovery_at:
+            self._recovery_at = now + self.timing.retry_s
+            self._outbox += [Send(name, message) for name, message in self.recovery.requests()]
+        if now >= self._status_at:
+            self._status_at = now + self.timing.status_interval_s
+            self.log_lines.append(self.recovery.status())
+
+    def _advance_recovery(self, now: float) -> None:
         before = self.recovery.incarnation
-        self.recovery.proceed()
+        self.recovery.advance()
         if self.voter.voting:
             self.recovery = None
         elif self.recovery.incarnation != before:
-            self._recover_at = now
+            self._recovery_at = now
 
-    # Messages
+    # Message handlers
 
     def _on_prepare(self, now: float, source: str, message: Prepare) -> None:
         self._reply(source, self.voter.prepare(message))
 
     def _on_promise(self, now: float, source: str, message: Promise) -> None:
-        self.catchup.heard(now, source, message.revision)
-        self.writer.promised(now, source, message)
+        self.catchup.note_revision(now, source, message.revision)
+        self.writer.on_promise(now, source, message)
 
     def _on_accept(self, now: float, source: str, message: Accept) -> None:
-        self.catchup.heard(now, source, message.revision - 1)
+        self.catchup.note_revision(now, source, message.revision - 1)
         self._reply(source, self.voter.accept(message))
 
     def _on_vote(self, now: float, source: str, message: Vote) -> None:
-        self.catchup.heard(now, source, message.revision)
-        self.writer.voted(now, source, message)
+        self.catchup.note_revision(now, source, message.revision)
+        self.writer.on_vote(now, source, message)
 
-    def _on_beat(self, now: float, source: str, message: Beat) -> None:
+    def _on_heartbeat(self, now: float, source: str, message: Heartbeat) -> None:
         if self.voter.voting and message.ballot < self.voter.promised:
-            self._send(source, self.voter.overtaken(message.ballot))
+            self._send(source, self.voter.reject_ballot(message.ballot))
         elif message.ballot >= self.leader_ballot:
             self.leader, self.leader_ballot = source, message.ballot
-            for asking in list(self.asks.values()):
-                self._route(now, asking)
-        self.catchup.heard(now, source, message.revision)
+            for submission in list(self.submissions.values()):
+                self._forward(now, submission)
+        self.catchup.note_revision(now, source, message.revision)
         if (
-            message.revision == self.document.revision != self._differs
+            message.revision == self.document.revision != self._differing_revision
             and message.digest != self.document.digest
         ):
-            self._differs = message.revision
+            self._differing_revision = message.revision
             self.counts["digest differs"] += 1
-            self.log_lines.append(f"revision {message.revision} has another digest at {source}")
+            self.log_lines.append(f"revision {message.revision} has a different digest at {source}")
 
     def _on_submit(self, now: float, source: str, message: Submit) -> None:
-        self._reply(source, self.writer.submitted(source, message.ballot, message.change))
+        self._reply(source, self.writer.on_submit(source, message.ballot, message.change))
 
-    def _on_answer(self, now: float, source: str, message: Answer) -> None:
-        asking = self.asks.get(message.id)
-        # What an overtaken writer refuses is not final where a later one was asked.
-        if asking is not None and (
-            message.ballot >= asking.ballot or message.outcome in (Outcome.COMMITTED, Outcome.LOST)
+    def _on_submit_reply(self, now: float, source: str, message: SubmitReply) -> None:
+        submission = self.submissions.get(message.change_id)
+        # A rejection by a superseded writer is not final if the change was sent to a later writer.
+        if submission is not None and (
+            message.ballot >= submission.ballot or message.outcome in (Outcome.COMMITTED, Outcome.LOST)
         ):
-            self._result(message.id, message.outcome, message.revision, message.text)
+            self._finish(message.change_id, message.outcome, message.revision, message.text)
 
     def _on_recover(self, now: float, source: str, message: Recover) -> None:
-        self._reply(source, self.voter.recover(source, message))
+        self._reply(source, self.voter.on_recover(source, message))
 
     def _on_recovered(self, now: float, source: str, message: Recovered) -> None:
         if self.recovery is not None:
-            self.catchup.heard(now, source, message.revision)
-            self.recovery.answered(source, message)
+            self.catchup.note_revision(now, source, message.revision)
+            self.recovery.on_reply(source, message)
--- a/willownotch/controlplane/document.py
+++ b/willownotch/controlplane/document.py
@@ -1,12 +1,12 @@
 """The document that members agree on and senders follow: keyed entries, their digest, changes. No I/O.
 
-A revision is made of the one before it by a change; its digest is that of all entries. The digest is a sum
-of one hash an entry (AdHash: Bellare and Micciancio, 1997; Lewi et al. use its kin to distribute
-configuration, 2019), so it follows a change at the cost of what changes. It tells faults, not forgers: frames
-are sealed.
+Each revision results from the previous one and a change; its digest covers all entries. The digest is the
+sum of one hash for each entry (AdHash: Bellare and Micciancio, 1997; Lewi et al., 2019, use a similar hash to
+distribute configuration), so that its update costs only as much as the change. It detects faults, not
+forgeries: frames are authenticated separately.
 
-Entries lie in 64 x 64 buckets by a hash of their key, and each bucket has its digest: two documents that
-differ are compared as a tree of two levels, as anti-entropy by Merkle trees does (Dynamo, 2007).
+Entries are grouped into 64 x 64 buckets by a hash of their key, and each bucket has a digest. Two documents
+that differ are compared as a tree of two levels, like anti-entropy with Merkle trees (Dynamo, 2007).
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 GROUPS = 64  # of buckets
 BUCKETS = GROUPS * GROUPS
-DIGEST_BYTES = 16  # bytes of a digest
+DIGEST_BYTES = 16
 MODULUS = 1 << 8 * DIGEST_BYTES
-KEY_MOST, VALUE_MOST, ENTRIES_MOST = 200, 64 * 1024, 200_000  # bytes of a key and a value; entries
-CHANGE_MOST = 512 * 1024  # bytes of a change: it goes in one frame between members
-HISTORY_MOST = 4096  # changes that are kept for differences, conflicts and roll-back
+MAX_KEY_BYTES, MAX_VALUE_BYTES, MAX_ENTRIES = 200, 64 * 1024, 200_000
+MAX_CHANGE_BYTES = 512 * 1024  # so that a change fits in one frame between members
+MAX_HISTORY = 4096  # commits that are kept for deltas, conflict checks and roll-back
 
 
 class DocumentError(ValueError):
-    """What does not fit the document; the text says why."""
+    """A change, commit or delta does not fit the document; the text says why."""
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """What an author wants: keys set (to JSON texts) and removed, as of the revision that was looked at."""
+    """A change by an author: the keys to set (to JSON texts) and to remove, based on revision `base`."""
 
-    id: bytes  # 16 random bytes: asked again, it is the same change
+    id: bytes  # 16 random bytes; the same for every submission of this change
     author: str
     base: int
     sets: dict[str, bytes]
     removes: tuple[str, ...] = ()
 
-    def touched(self) -> set[str]:
-        """The keys of all that it sets or removes."""
+    def touched_keys(self) -> set[str]:
+        """The keys that it sets or removes."""
         return {*self.sets, *self.removes}
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True):
-    """A change that was accepted: its revision, the token it was accepted under, the digest made by it."""
+    """A change with its revision, the writer's lease token, and the digest of the document after it."""
 
     revision: int
     token: int
@@ -55,7 +55,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
-    """All that differs between two revisions, and the digest that must come of it."""
+    """The difference between two revisions, and the digest of the document after it is applied."""
 
     since: int
     revision: int
@@ -66,26 +66,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
-    """A commit, and what its keys had before it (None: they were not there)."""
+class HistoryEntry:
+    """A commit, and the values of its keys before it (None where there was no entry)."""
 
     commit: Commit
-    before: dict[str, bytes | None]
+    previous_values: dict[str, bytes | None]
 
 
 def bucket_of(key: str) -> int:
-    """The bucket of a key, 0 to `BUCKETS` - 1."""
+    """The number of a key's bucket, 0 to `BUCKETS` - 1."""
     return int.from_bytes(blake3(key.encode()).digest(length=2), "big") % BUCKETS
 
 
 def entry_hash(key: str, value: bytes) -> int:
-    """One entry's part of the digest."""
+    """The hash of one entry, as it is added to the digests."""
     name = key.encode()
     return int.from_bytes(blake3(b"%d:%s" % (len(name), name) + value).digest(length=DIGEST_BYTES), "big")
 
 
 def check_change(change: Change) -> None:
-    """Bounds that hold for every change, whatever its keys mean; `DocumentError`."""
+    """Raise `DocumentError` if a change breaks a limit that holds for all keys."""
     if len(change.id) != 16:
         raise DocumentError("a change's id has 16 bytes")
     if not change.sets and not change.removes:
@@ -95,43 +95,45 @@
     if len(set(change.removes)) != len(change.removes):
         raise DocumentError("a key is removed twice, allowed: once")
     size = 0
-    for key in change.touched():
+    for key in change.touched_keys():
         value = change.sets.get(key, b"")
         size += len(key.encode()) + len(value)
-        if not key or len(key.encode()) > KEY_MOST:
-            raise DocumentError(f"the key {key[:40]!r} is empty or too long, allowed: 1 to {KEY_MOST} bytes")
-        if len(value) > VALUE_MOST:
-            raise DocumentError(f"{key!r} has {len(value)} bytes, allowed: up to {VALUE_MOST}")
-    if size > CHANGE_MOST:
-        raise DocumentError(f"the change has {size} bytes, allowed: up to {CHANGE_MOST}")
+        if not key or len(key.encode()) > MAX_KEY_BYTES:
+            raise DocumentError(
+                f"the key {key[:40]!r} is empty or too long, allowed: 1 to {MAX_KEY_BYTES} bytes"
+            )
+        if len(value) > MAX_VALUE_BYTES:
+            raise DocumentError(f"{key!r} has {len(value)} bytes, allowed: up to {MAX_VALUE_BYTES}")
+    if size > MAX_CHANGE_BYTES:
+        raise DocumentError(f"the change has {size} bytes, allowed: up to {MAX_CHANGE_BYTES}")
 
 
 class Document:
-    """One revision of the document, which commits and deltas move on in place, and the commits before it."""
+    """One revision of the document, which commits and deltas update in place, with its latest commits."""
 
-    def __init__(self, history_most: int = HISTORY_MOST) -> None:
+    def __init__(self, max_history: int = MAX_HISTORY) -> None:
         self.revision = 0
         self.token = 0  # of the revision's commit
-        self.history_most = history_most
-        self.history: deque[Past] = deque()
-        self.count = self.size = 0  # entries, and bytes of their keys and values
+        self.max_history = max_history
+        self.history: deque[HistoryEntry] = deque()
+        self.count = self.size = 0  # number of entries, and the bytes of their keys and values
         self._buckets: list[dict[str, bytes]] = [{} for _ in range(BUCKETS)]
         self._sums = [0] * BUCKETS
         self._total = 0
         self._by_id: dict[bytes, int] = {}
 
     def get(self, key: str) -> bytes | None:
-        """An entry's value, or None."""
+        """The value of an entry, or None."""
         return self._buckets[bucket_of(key)].get(key)
 
     def items(self) -> Iterator[tuple[str, bytes]]:
-        """All entries, in no order."""
+        """All entries, in no particular order."""
         for bucket in self._buckets:
             yield from bucket.items()
 
     @property
     def digest(self) -> bytes:
-        """Of all entries."""
+        """The digest of all entries."""
         return self._total.to_bytes(DIGEST_BYTES, "big")
 
     def groups(self) -> list[bytes]:
@@ -150,114 +152,116 @@
         return dict(self._buckets[number])
 
     def copy(self) -> Document:
-        """The same entries, revision and token without the history: a snapshot to serve or to build on."""
-        made = Document(self.history_most)
-        made.revision, made.token = self.revision, self.token
-        made.count, made.size = self.count, self.size
-        made._buckets = [dict(bucket) for bucket in self._buckets]
-        made._sums, made._total = list(self._sums), self._total
-        return made
+        """A copy with the same entries, revision and token, and without the history."""
+        document = Document(self.max_history)
+        document.revision, document.token = self.revision, self.token
+        document.count, document.size = self.count, self.size
+        document._buckets = [dict(bucket) for bucket in self._buckets]
+        document._sums, document._total = list(self._sums), self._total
+        return document
 
     def _put(self, key: str, value: bytes | None) -> bytes | None:
-        """Set or remove one entry; what it was."""
+        """Set one entry, or remove it if `value` is None; returns its previous value."""
         number = bucket_of(key)
         bucket = self._buckets[number]
-        old = bucket.get(key)
-        moved = 0
-        if old is not None:
-            moved -= entry_hash(key, old)
+        old_value = bucket.get(key)
+        hash_change = 0
+        if old_value is not None:
+            hash_change -= entry_hash(key, old_value)
             self.count -= 1
-            self.size -= len(key.encode()) + len(old)
+            self.size -= len(key.encode()) + len(old_value)
             del bucket[key]
         if value is not None:
-            moved += entry_hash(key, value)
+            hash_change += entry_hash(key, value)
             self.count += 1
             self.size += len(key.encode()) + len(value)
             bucket[key] = value
-        self._sums[number] = (self._sums[number] + moved) % MODULUS
-        self._total = (self._total + moved) % MODULUS
-        return old
+        self._sums[number] = (self._sums[number] + hash_change) % MODULUS
+        self._total = (self._total + hash_change) % MODULUS
+        return old_value
 
     def _write(self, sets: Mapping[str, bytes], removes: Iterable[str]) -> dict[str, bytes | None]:
-        before: dict[str, bytes | None] = {}
+        previous_values: dict[str, bytes | None] = {}
         for key in removes:
-            before.setdefault(key, self._put(key, None))  # the first counts, where a key comes twice
+            previous_values.setdefault(key, self._put(key, None))  # keep the first if a key appears twice
         for key, value in sets.items():
-            before.setdefault(key, self._put(key, value))
-        return before
+            previous_values.setdefault(key, self._put(key, value))
+        return previous_values
 
-    def found(self, change_id: bytes) -> int | None:
-        """The revision that a change became, as far back as the history goes."""
+    def committed_revision(self, change_id: bytes) -> int | None:
+        """The revision of a committed change, or None if it is not in the history."""
         return self._by_id.get(change_id)
 
     def conflict(self, change: Change) -> Commit | None:
-        """The latest commit after the change's base that touches one of its keys: the change lost to it.
+        """The latest commit after the change's base that touches one of its keys: the change loses to it.
 
-        `DocumentError` if its base is from the future or older than the history.
+        Raises `DocumentError` if the base is later than this revision or older than the history.
         """
         if change.base > self.revision:
             raise DocumentError(f"the change is based on revision {change.base}, the last is {self.revision}")
         if change.base < self.oldest():
             raise DocumentError(
                 f"the change is based on revision {change.base}, older than is "
-                f"remembered ({self.oldest()}): look again"
+                f"remembered ({self.oldest()}): base it on a later revision"
             )
-        keys = change.touched()
-        for past in reversed(self.history):
-            if past.commit.revision <= change.base:
+        keys = change.touched_keys()
+        for entry in reversed(self.history):
+            if entry.commit.revision <= change.base:
                 break
-            if keys & past.commit.change.touched():
-                return past.commit
+            if keys & entry.commit.change.touched_keys():
+                return entry.commit
         return None
 
     def oldest(self) -> int:
-        """The oldest revision that a difference can begin from."""
+        """The oldest revision from which a delta can start."""
         return self.history[0].commit.revision - 1 if self.history else self.revision
 
     def digest_after(self, change: Change) -> bytes:
-        """The digest that a change would make."""
+        """The digest of the document after a change."""
         total = self._total
         for key in change.removes:
-            if (old := self.get(key)) is not None:
-                total -= entry_hash(key, old)
+            if (old_value := self.get(key)) is not None:
+                total -= entry_hash(key, old_value)
         for key, value in change.sets.items():
-            if (old := self.get(key)) is not None:
-                total -= entry_hash(key, old)
+            if (old_value := self.get(key)) is not None:
+                total -= entry_hash(key, old_value)
             total += entry_hash(key, value)
         return (total % MODULUS).to_bytes(DIGEST_BYTES, "big")
 
     def commit(self, commit: Commit) -> None:
-        """Move on by one revision; `DocumentError`, and nothing changed, if it is not the next one or its
-        digest is not what comes of it."""
+        """Apply the commit of the next revision.
+
+        Raises `DocumentError`, with nothing changed, if it is not the next one or its digest does not match.
+        """
         if commit.revision != self.revision + 1:
             raise DocumentError(f"revision {commit.revision} does not follow {self.revision}")
         if commit.token < self.token:
             raise DocumentError(f"token {commit.token} is below {self.token}")
         if self.digest_after(commit.change) != commit.digest:
-            raise DocumentError(f"revision {commit.revision} has another digest than what comes of it")
-        before = self._write(commit.change.sets, commit.change.removes)
+            raise DocumentError(f"revision {commit.revision} has another digest than its change results in")
+        previous_values = self._write(commit.change.sets, commit.change.removes)
         self.revision, self.token = commit.revision, commit.token
-        self.history.append(Past(commit, before))
+        self.history.append(HistoryEntry(commit, previous_values))
         self._by_id[commit.change.id] = commit.revision
-        while len(self.history) > self.history_most:
+        while len(self.history) > self.max_history:
             self._by_id.pop(self.history.popleft().commit.change.id, None)
 
     def commits(self, since: int) -> list[Commit] | None:
-        """The commits after a revision, in order; None where the history does not go back so far."""
+        """The commits after a revision, in order, or None if the history does not reach back to it."""
         if not self.oldest() <= since <= self.revision:
             return None
         behind = self.revision - since
         return [self.history[at].commit for at in range(len(self.history) - behind, len(self.history))]
 
     def delta(self, since: int) -> Delta | None:
-        """What differs from an earlier revision, or None where the history does not go back so far."""
+        """The delta from an earlier revision, or None if the history does not reach back to it."""
         commits = self.commits(since)
         if commits is None:
             return None
-        touched: dict[str, None] = {}
+        touched_keys: dict[str, None] = {}
         for commit in commits:
-            touched |= dict.fromkeys(commit.change.sets) | dict.fromkeys(commit.change.removes)
-        now = {key: self.get(key) for key in touched}
+            touched_keys |= dict.fromkeys(commit.change.sets) | dict.fromkeys(commit.change.removes)
+        now = {key: self.get(key) for key in touched_keys}
         return Delta(
             since,
             self.revision,
@@ -268,56 +272,61 @@
         )
 
     def apply(self, delta: Delta) -> None:
-        """Move on by a delta; `DocumentError`, and nothing changed, if it begins elsewhere, does not lead
-        forward or makes another digest. The history is lost with it, as followers need none."""
+        """Apply a delta and clear the history, which followers do not need.
+
+        Raises `DocumentError`, with nothing changed, if the delta starts at another revision, does not lead
+        to a later one, or its digest does not match.
+        """
         if delta.since != self.revision or delta.revision <= self.revision or delta.token < self.token:
             raise DocumentError(
-                f"a difference from {delta.since} to {delta.revision} (token {delta.token}) "
-                f"does not lead on from {self.revision} (token {self.token})"
+                f"a delta from {delta.since} to {delta.revision} (token {delta.token}) "
+                f"does not apply to revision {self.revision} (token {self.token})"
             )
-        before = self._write(delta.sets, delta.removes)
+        previous_values = self._write(delta.sets, delta.removes)
         if self.digest != delta.digest:
             self._write(
-                {k: v for k, v in before.items() if v is not None},
-                [k for k, v in before.items() if v is None],
+                {k: v for k, v in previous_values.items() if v is not None},
+                [k for k, v in previous_values.items() if v is None],
             )
-            raise DocumentError(f"revision {delta.revision} has another digest than comes of the difference")
+            raise DocumentError(f"revision {delta.revision} has another digest than its delta results in")
         self.revision, self.token = delta.revision, delta.token
         self.history.clear()
         self._by_id.clear()
 
     def edits_to_restore(self, revision: int) -> tuple[dict[str, bytes], tuple[str, ...]]:
-        """What to set and to remove so that the entries are those of an earlier revision; `DocumentError`
-        where the history does not go back so far."""
+        """The keys to set and to remove that restore the entries of an earlier revision.
+
+        Raises `DocumentError` if the history does not reach back to it.
+        """
         if not self.oldest() <= revision <= self.revision:
             raise DocumentError(
                 f"revision {revision} is not remembered, allowed: {self.oldest()} to " f"{self.revision}"
             )
-        then: dict[str, bytes | None] = {}
-        for past in reversed(self.history):
-            if past.commit.revision <= revision:
+        old_values: dict[str, bytes | None] = {}
+        for entry in reversed(self.history):
+            if entry.commit.revision <= revision:
                 break
-            then |= past.before
-        now = {key: self.get(key) for key in then}
+            old_values |= entry.previous_values
+        now = {key: self.get(key) for key in old_values}
         return (
-            {k: v for k, v in then.items() if v is not None and v != now[k]},
-            tuple(sorted(k for k, v in then.items() if v is None and now[k] is not None)),
+            {k: v for k, v in old_values.items() if v is not None and v != now[k]},
+            tuple(sorted(k for k, v in old_values.items() if v is None and now[k] is not None)),
         )
 
     @classmethod
-    def whole(
+    def from_entries(
         cls,
         revision: int,
         token: int,
         entries: Iterable[tuple[str, bytes]],
         digest: bytes,
-        history_most: int = HISTORY_MOST,
+        max_history: int = MAX_HISTORY,
     ) -> Document:
-        """A document of all its entries; `DocumentError` if its digest is another."""
-        made = cls(history_most)
+        """A document with these entries; raises `DocumentError` if their digest is not `digest`."""
+        document = cls(max_history)
         for key, value in entries:
-            made._put(key, value)
-        if made.digest != digest:
-            raise DocumentError(f"revision {revision} has another digest than its {made.count} entries")
-        made.revision, made.token = revision, token
-        return made
+            document._put(key, value)
+        if document.digest != digest:
+            raise DocumentError(f"revision {revision} has another digest than its {document.count} entries")
+        document.revision, document.token = revision, token
+        return document
--- a/willownotch/controlplane/entries.py
+++ b/willownotch/controlplane/entries.py
@@ -1,9 +1,10 @@
-"""The entries of the document that senders can apply: their text, types, how they lie over a file. No I/O.
+"""The entries of the document that senders can apply: their text form, their types, and the overlay. No I/O.
 
-A key is a path. `config/...` is a place in the sender's configuration by the names of the file, where a list
-of named objects is entered by the names: `config/settings/services/order/credit`. Its value is what stands
-there, and holds before the file; `null` takes a named object out. `data/...` is carried, kept and shown, and
-nothing of the sender reads it. What belongs to one machine (its name, addresses, folder, disk) is no entry.
+A key is a path. `config/...` is a path in the sender's configuration file, by the names in the file; in a
+list of named objects, the name selects the object: `config/settings/services/order/credit`. The entry's value
+overrides that of the file, and `null` removes a named object. `data/...` is distributed, stored and shown,
+but the sender does not read it. Settings of a single machine (its name, addresses, folder, disk) cannot be
+entries.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 import msgspec
 
-from willownotch.controlplane.document import KEY_MOST, Change, Document, DocumentError, check_change
+from willownotch.controlplane.document import MAX_KEY_BYTES, Change, Document, DocumentError, check_change
 from willownotch.net.config import ConfigError, ConfigFile, read_config
 
 CONFIG, DATA = "config", "data"
-OWN = {  # of each machine, or read at a start only
+MACHINE_KEYS = {  # settings of a single machine, and those that are only read at the start
     "name",
     "listen",
     "management",
@@ -31,16 +32,16 @@
     "settings/models",
     "settings/zones",
 }
-SEGMENT = re.compile(r"[^\s/\x00-\x1f]+")
-PLACE = re.compile(r" \(byte (\d+)\)$")
+KEY_SEGMENT = re.compile(r"[^\s/\x00-\x1f]+")
+BYTE_POSITION = re.compile(r" \(byte (\d+)\)$")
 
 
 class EntriesError(ValueError):
-    """All mistakes of a text of entries, a line each."""
+    """All errors in a text of entries, one line each."""
 
-    def __init__(self, mistakes: list[str]) -> None:
-        super().__init__("\n".join(mistakes))
-        self.mistakes = mistakes
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("\n".join(errors))
+        self.errors = errors
 
 
 def _fields(kind: type[msgspec.Struct]) -> dict[str, Any]:
@@ -51,20 +52,22 @@
     return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
 
 
-def _named(kind: Any) -> type[msgspec.Struct] | None:
-    """The object of a list of named ones."""
+def _named_object(kind: Any) -> type[msgspec.Struct] | None:
+    """The type of the objects if `kind` is a list of named objects, else None."""
     if get_origin(kind) is list and _is_struct(inner := get_args(kind)[0]) and "name" in _fields(inner):
         return inner
     return None
 
 
 def _type_at(parts: list[str]) -> tuple[Any, bool]:
-    """The type of a place in the configuration, and whether `null` takes it out; `ValueError` says why there
-    is none."""
+    """The type at a path in the configuration, and whether `null` removes it.
+
+    Raises `ValueError` with the reason if the path cannot be an entry.
+    """
     kind: Any = ConfigFile
     removable = False
     for at, part in enumerate(parts):
-        if (named := _named(kind)) is not None:
+        if (named := _named_object(kind)) is not None:
             kind, removable = named, True
             continue
         if not _is_struct(kind):
@@ -72,24 +75,24 @@
             raise ValueError(f"nothing lies below {above!r}, allowed: its whole value")
         fields = _fields(kind)
         path = "/".join(parts[: at + 1])
-        known = [name for name in fields if "/".join([*parts[:at], name]) not in OWN]
+        known = [name for name in fields if "/".join([*parts[:at], name]) not in MACHINE_KEYS]
         if part not in fields:
             near = get_close_matches(part, known, 1)
             hint = f" (did you mean {near[0]!r}?)" if near else ""
             raise ValueError(f"unknown key {part!r}{hint}, allowed: {', '.join(sorted(known))}")
-        if path in OWN:
-            raise ValueError(f"{path!r} is each machine's own, allowed: {', '.join(sorted(known))}")
+        if path in MACHINE_KEYS:
+            raise ValueError(f"{path!r} is a setting of each machine, allowed: {', '.join(sorted(known))}")
         kind, removable = fields[part], False
-    if kind is ConfigFile or (_is_struct(kind) and not removable) or _named(kind) is not None:
-        raise ValueError("a part with keys of its own, wanted: one of these, or a named object")
+    if kind is ConfigFile or (_is_struct(kind) and not removable) or _named_object(kind) is not None:
+        raise ValueError("a group of keys, wanted: one of these, or a named object")
     return kind, removable
 
 
-def _fault(key: str, value: Any) -> tuple[bool, str] | None:
-    """What is wrong with an entry, and whether it is the key; None if nothing is."""
+def _find_error(key: str, value: Any) -> tuple[bool, str] | None:
+    """Whether the error of an entry is in its key, and the error; None if the entry is valid."""
     first, *parts = key.split("/")
-    if len(key.encode()) > KEY_MOST or not all(SEGMENT.fullmatch(part) for part in [first, *parts]):
-        return True, f"no key, allowed: words with '/' between them, up to {KEY_MOST} bytes"
+    if len(key.encode()) > MAX_KEY_BYTES or not all(KEY_SEGMENT.fullmatch(part) for part in [first, *parts]):
+        return True, f"invalid key, allowed: words with '/' between them, up to {MAX_KEY_BYTES} bytes"
     if first not in (CONFIG, DATA) or not parts:
         return True, f"unknown key {key!r}, allowed: {CONFIG}/... or {DATA}/..."
     if first == DATA:
@@ -113,16 +116,19 @@
 
 
 def encode(value: Any) -> bytes:
-    """A value as its one JSON text."""
+    """The canonical JSON text of a value."""
     return msgspec.json.encode(value, order="sorted")
 
 
 def parse(text: str, file: str = "entries") -> dict[str, bytes]:
-    """A text with an entry a line, `KEY VALUE`, the value one JSON text to the line's end; a line that begins
-    with `#` is a comment. `EntriesError` has all mistakes, each as `file:line:column: what, allowed`."""
+    """Parse a text with one entry `KEY VALUE` on each line; returns the canonical values by key.
+
+    The value is one JSON text up to the end of the line. Lines that begin with `#` are comments. Raises
+    `EntriesError` with all errors, each as `file:line:column: error, allowed`.
+    """
     found: dict[str, bytes] = {}
     lines: dict[str, int] = {}
-    mistakes = []
+    errors = []
     for number, line in enumerate(text.splitlines(), 1):
         content = line.strip()
         if not content or content.startswith("#"):
@@ -131,10 +137,10 @@
         key, _, rest = content.partition(" ") if " " in content else content.partition("\t")
         at = column + len(content) - len(rest.lstrip())
         if not rest.strip():
-            mistakes.append(f"{file}:{number}:{column + len(key)}: no value, wanted: one JSON text after it")
+            errors.append(f"{file}:{number}:{column + len(key)}: no value, wanted: one JSON text after it")
             continue
         if key in lines:
-            mistakes.append(
+            errors.append(
                 f"{file}:{number}:{column}: {key!r} stands twice, allowed: once "
                 f"(line {lines[key]} has it)"
             )
@@ -143,40 +149,40 @@
         try:
             value = msgspec.json.decode(rest.strip())
         except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            said = str(fault)
-            place = PLACE.search(said)
-            mistakes.append(
-                f"{file}:{number}:{at + (int(place[1]) if place else 0)}: "
-                f"{PLACE.sub('', said)}, wanted: one JSON text"
+            message = str(fault)
+            position = BYTE_POSITION.search(message)
+            errors.append(
+                f"{file}:{number}:{at + (int(position[1]) if position else 0)}: "
+                f"{BYTE_POSITION.sub('', message)}, wanted: one JSON text"
             )
             continue
-        if (wrong := _fault(key, value)) is not None:
-            mistakes.append(f"{file}:{number}:{column if wrong[0] else at}: {wrong[1]}")
+        if (wrong := _find_error(key, value)) is not None:
+            errors.append(f"{file}:{number}:{column if wrong[0] else at}: {wrong[1]}")
             continue
         found[key] = encode(value)
-    if mistakes:
-        raise EntriesError(mistakes)
+    if errors:
+        raise EntriesError(errors)
     return found
 
 
 def unparse(entries: Iterable[tuple[str, bytes]]) -> str:
-    """Entries as a text that `parse` reads, in the order of their keys."""
+    """The text of entries as `parse` reads it, in the order of their keys."""
     return "".join(f"{key} {value.decode()}\n" for key, value in sorted(entries))
 
 
 def config_entries(entries: Iterable[tuple[str, bytes]]) -> dict[str, bytes]:
-    """Those that a sender's configuration is made of."""
+    """The entries that belong to a sender's configuration."""
     return {key: value for key, value in entries if key.startswith(CONFIG + "/")}
 
 
 def overlay(file: Any, entries: Mapping[str, bytes]) -> Any:
-    """A configuration file's decoded text with entries over it. The file's own objects keep their order."""
+    """A copy of a decoded configuration file with entries applied. The file's objects keep their order."""
     made = msgspec.json.decode(msgspec.json.encode(file))
     for key in sorted(entries):
         *path, last = key.split("/")[1:]
         here = made
         for part in path:
-            here = _below(here, part)
+            here = _child(here, part)
         value = msgspec.json.decode(entries[key])
         if isinstance(here, list):
             rest = [item for item in here if item.get("name") != last]
@@ -189,8 +195,8 @@
     return made
 
 
-def _below(here: Any, part: str) -> Any:
-    """What lies under a name; made where it is not there yet."""
+def _child(here: Any, part: str) -> Any:
+    """The child with a name; created if it does not exist."""
     if isinstance(here, list):
         found = next((item for item in here if item.get("name") == part), None)
         if found is None:
@@ -203,9 +209,10 @@
 
 
 def check(document: Document, change: Change, reference: bytes | None = None) -> None:
-    """What a member asks of a change before it is proposed; `DocumentError` says what is wrong with it.
+    """Check a change before it is proposed; raises `DocumentError` if it is invalid.
 
-    With a `reference`, a sender's configuration file, that file with the document over it has to be sound.
+    With `reference`, the text of a sender's configuration file, that file has to be valid with the changed
+    document applied to it.
     """
     check_change(change)
     for key, text in change.sets.items():
@@ -213,12 +220,12 @@
             value = msgspec.json.decode(text)
         except (msgspec.DecodeError, UnicodeDecodeError):
             raise DocumentError(f"the value of {key!r} is no JSON text") from None
-        if (wrong := _fault(key, value)) is not None:
+        if (wrong := _find_error(key, value)) is not None:
             raise DocumentError(f"{key}: {wrong[1]}")
     for key in change.removes:
         if document.get(key) is None:
             raise DocumentError(f"there is no entry {key!r} to remove")
-    if reference is None or not any(key.startswith(CONFIG + "/") for key in change.touched()):
+    if reference is None or not any(key.startswith(CONFIG + "/") for key in change.touched_keys()):
         return
     entries = config_entries(document.items()) | config_entries(change.sets.items())
     for key in change.removes:
--- a/willownotch/controlplane/voter.py
+++ b/willownotch/controlplane/voter.py
@@ -1,7 +1,7 @@
-"""A voter: what it has promised and accepted, the document, and its way back after its folder was lost.
+"""A voter: its promises, what it accepted, the document, and its recovery after its folder was lost.
 
-No I/O: `keep` puts records into the folder. What was learnt may run ahead of the folder (others have it),
-what is promised, accepted or answered never does.
+No I/O: the function `persist` writes records to the folder. Commits may be applied before they are stored, as
+other voters have them; promises, accepted proposals and replies never precede their records in the folder.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from willownotch.controlplane.agreement import (
-    FIRST,
-    NONE,
+    FIRST_INCARNATION,
+    NO_BALLOT,
     Accept,
     Accepted,
     Ballot,
     Committed,
+    CrashVector,
     Incarnations,
     Prepare,
     Promise,
@@ -23,15 +24,14 @@
     Record,
     Recover,
     Recovered,
-    Vector,
+    SnapshotPart,
     Vote,
-    Whole,
     apply_accept,
     current_answers,
     highest_accepted,
     majority,
     may_promise,
-    merged,
+    merge_vectors,
 )
 from willownotch.controlplane.document import (
     DIGEST_BYTES,
@@ -43,60 +43,68 @@
     entry_hash,
 )
 
-Keep = Callable[[list[Record]], bool]  # puts records into the folder, all or none; whether it could
-PIECE_MOST = 256 * 1024  # bytes of entries in one part of a snapshot
-UNKEPT_MOST = 256  # records that are learnt ahead of the folder
+Persist = Callable[[list[Record]], bool]  # stores all of the records or none; returns whether it did
+MAX_SNAPSHOT_PART_BYTES = 256 * 1024  # of keys and values, so that a part fits in a frame
+MAX_UNPERSISTED = 256  # records of applied commits that are not stored yet
 
 
-def parts(entries: Iterable[tuple[str, bytes]], revision: int, token: int, digest: bytes) -> list[Whole]:
-    """A snapshot in parts that fit a frame each."""
-    made: list[dict[str, bytes]] = [{}]
+def snapshot_parts(
+    entries: Iterable[tuple[str, bytes]], revision: int, token: int, digest: bytes
+) -> list[SnapshotPart]:
+    """Split a snapshot into parts that fit in a frame each."""
+    parts: list[dict[str, bytes]] = [{}]
     size = 0
     for key, value in entries:
         size += len(key.encode()) + len(value) + 8
-        if size > PIECE_MOST:
-            made.append({})
+        if size > MAX_SNAPSHOT_PART_BYTES:
+            parts.append({})
             size = len(key.encode()) + len(value) + 8
-        made[-1][key] = value
-    return [Whole(revision, token, digest, at == len(made) - 1, part) for at, part in enumerate(made)]
+        parts[-1][key] = value
+    return [
+        SnapshotPart(revision, token, digest, index == len(parts) - 1, part)
+        for index, part in enumerate(parts)
+    ]
 
 
 class Voter:
-    """One member's own state. `restored`: the folder's records in order; `bootstrap`: an empty folder is that
-    of a member that has never voted, and not a lost one."""
+    """One member's state as a voter.
+
+    `restored` are the folder's records in order. With `bootstrap`, an empty folder is that of a member that
+    has never voted; without it, the folder counts as lost.
+    """
 
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
         document: Document,
-        keep: Keep,
+        persist: Persist,
         restored: Iterable[Record],
         bootstrap: bool,
     ) -> None:
-        self.name, self.voters, self.document, self.keep = name, voters, document, keep
-        self.promised: Ballot = NONE
+        self.name, self.voters, self.document, self.persist = name, voters, document, persist
+        self.promised: Ballot = NO_BALLOT
         self.pending: Accepted | None = None
-        self.vector: Vector = {}
-        self.committed: list[Commit] = []  # since it was last taken away
-        self.snapshots_installed = 0  # snapshots
+        self.vector: CrashVector = {}
+        self.committed: list[Commit] = []  # drained by the caller
+        self.snapshots_installed = 0
         self.counts: Counter[str] = Counter()
         self.log_lines: list[str] = []
-        self.unkept: list[Record] = []
-        self.failing = False  # the folder
-        records = 0
-        self._parts: list[Whole] = []
+        self.unpersisted: list[Record] = []
+        self.persist_failing = False
+        restored_count = 0
+        self._parts: list[SnapshotPart] = []
         for record in restored:
-            records += 1
+            restored_count += 1
             self._restore(record)
-        if bootstrap and not records:
-            self.vector = {name: FIRST}
-            self.unkept.append(Incarnations(self.vector))
+        if bootstrap and not restored_count:
+            self.vector = {name: FIRST_INCARNATION}
+            self.unpersisted.append(Incarnations(self.vector))
             self.flush()
 
     @property
     def voting(self) -> bool:
-        """Whether it knows what it has promised."""
+        """Whether it may vote, which it may if it knows what it has promised."""
         return self.name in self.vector
 
     def _restore(self, record: Record) -> None:
@@ -109,12 +117,12 @@
         elif isinstance(record, Incarnations):
             self.vector = record.vector
         else:
-            # Parts whose last one was not written any more are followed by those of another try, if any.
+            # An incomplete series of parts may precede the series of another snapshot.
             if self._parts and self._parts[0].digest != record.digest:
                 self._parts = []
             self._parts.append(record)
             if record.last:
-                self._replace(self._parts)
+                self._apply_snapshot(self._parts)
                 self._parts = []
         self._forget_pending()
 
@@ -122,38 +130,40 @@
         if self.pending is not None and self.pending.revision <= self.document.revision:
             self.pending = None
 
-    # The folder
+    # Storage
 
-    def _kept(self, records: list[Record]) -> bool:
-        """Keep these and all that waits to be kept."""
-        waiting = [*self.unkept, *records]
-        if not waiting:
-            return not self.failing
-        kept = self.keep(waiting)
-        if kept:
-            self.unkept.clear()
+    def _persist(self, records: list[Record]) -> bool:
+        """Store these records and all that are still unstored; returns whether it succeeded."""
+        unstored = [*self.unpersisted, *records]
+        if not unstored:
+            return not self.persist_failing
+        stored = self.persist(unstored)
+        if stored:
+            self.unpersisted.clear()
         else:
             self.counts["keep failed"] += 1
-        if kept == self.failing:
+        if stored == self.persist_failing:
             self.log_lines.append(
                 "the folder can be written again"
-                if kept
+                if stored
                 else "the folder cannot be written: no vote until it can"
             )
-        self.failing = not kept
-        return kept
+        self.persist_failing = not stored
+        return stored
 
     def flush(self) -> bool:
-        """Keep what waits to be kept, and see whether a folder that failed still does."""
-        return self._kept([Promised(self.promised)] if self.failing and not self.unkept else [])
+        """Store unstored records, or test whether a folder that failed can be written again."""
+        return self._persist(
+            [Promised(self.promised)] if self.persist_failing and not self.unpersisted else []
+        )
 
     def records(self) -> list[Record]:
-        """All that the folder needs, in fewest records; with the history of the document."""
+        """The fewest records that restore this voter, with the history of the document."""
         document = self.document
         oldest = document.oldest()
         sets, removes = document.edits_to_restore(oldest)
-        gone = set(removes)
-        then = {key: value for key, value in document.items() if key not in gone} | sets
+        removed = set(removes)
+        oldest_entries = {key: value for key, value in document.items() if key not in removed} | sets
         total = int.from_bytes(document.digest, "big")
         for key in (*sets, *removes):
             if (now := document.get(key)) is not None:
@@ -162,60 +172,62 @@
                 total += entry_hash(key, before)
         token = document.history[0].commit.token if document.history else document.token
         digest = (total % MODULUS).to_bytes(DIGEST_BYTES, "big")
-        made: list[Record] = list(parts(then.items(), oldest, token, digest)) if oldest else []
-        made += [Committed(past.commit) for past in document.history]
-        made.append(Promised(self.promised))
+        records: list[Record] = (
+            list(snapshot_parts(oldest_entries.items(), oldest, token, digest)) if oldest else []
+        )
+        records += [Committed(entry.commit) for entry in document.history]
+        records.append(Promised(self.promised))
         if self.pending is not None:
-            made.append(self.pending)
+            records.append(self.pending)
         if self.vector:
-            made.append(Incarnations(self.vector))
-        return made
+            records.append(Incarnations(self.vector))
+        return records
 
     def on_rewritten(self) -> None:
-        """The folder has what `records` gave."""
-        self.unkept.clear()
-        self.failing = False
+        """The folder was rewritten with the result of `records`."""
+        self.unpersisted.clear()
+        self.persist_failing = False
 
-    def adopt(self, vector: Vector, promised: Ballot, pending: Accepted | None) -> None:
-        """Vote from now on, as a new incarnation that knows this."""
+    def resume_voting(self, vector: CrashVector, promised: Ballot, pending: Accepted | None) -> None:
+        """Vote from now on, as a new incarnation with this state, if it can be stored."""
         records: list[Record] = [Promised(promised), Incarnations(vector)]
-        if self._kept(records if pending is None else [*records, pending]):
+        if self._persist(records if pending is None else [*records, pending]):
             self.vector, self.promised, self.pending = vector, promised, pending
             self.log_lines.append(f"votes again, as incarnation {vector[self.name]}")
 
-    # Learning
+    # Applying commits
 
-    def learn(self, commits: Iterable[Commit]) -> None:
-        """Move on by commits that are known to be committed; those that do not follow are left."""
+    def apply_commits(self, commits: Iterable[Commit]) -> None:
+        """Apply commits that are known to be chosen, as far as they continue the document without a gap."""
         for commit in commits:
             if commit.revision <= self.document.revision:
                 continue
-            if commit.revision > self.document.revision + 1 or len(self.unkept) >= UNKEPT_MOST:
+            if commit.revision > self.document.revision + 1 or len(self.unpersisted) >= MAX_UNPERSISTED:
                 break
             try:
                 self.document.commit(commit)
             except DocumentError as fault:
-                self._unsound(str(fault))
+                self._reject_commit(str(fault))
                 break
-            self.unkept.append(Committed(commit))
+            self.unpersisted.append(Committed(commit))
             self.committed.append(commit)
         self._forget_pending()
         self.flush()
 
-    def install(self, snapshot: list[Whole]) -> None:
-        """Move on by all parts of a snapshot of a later revision."""
-        if snapshot[0].revision <= self.document.revision or len(self.unkept) >= UNKEPT_MOST:
+    def install_snapshot(self, snapshot: list[SnapshotPart]) -> None:
+        """Replace the document by a complete snapshot, if it is of a later revision."""
+        if snapshot[0].revision <= self.document.revision or len(self.unpersisted) >= MAX_UNPERSISTED:
             return
         try:
-            self._replace(snapshot)
+            self._apply_snapshot(snapshot)
         except DocumentError as fault:
-            return self._unsound(str(fault))
-        self.unkept += snapshot
+            return self._reject_commit(str(fault))
+        self.unpersisted += snapshot
         self.snapshots_installed += 1
         self._forget_pending()
         self.flush()
 
-    def _replace(self, snapshot: list[Whole]) -> None:
+    def _apply_snapshot(self, snapshot: list[SnapshotPart]) -> None:
         entries: dict[str, bytes] = {}
         for part in snapshot:
             entries |= part.entries
@@ -224,18 +236,18 @@
         removes = tuple(key for key, _ in document.items() if key not in entries)
         document.apply(Delta(document.revision, head.revision, head.token, sets, removes, head.digest))
 
-    def _unsound(self, text: str) -> None:
+    def _reject_commit(self, text: str) -> None:
         self.counts["unsound commit"] += 1
-        self.log_lines.append(f"a commit was not taken: {text}")
+        self.log_lines.append(f"a commit was not applied: {text}")
 
     # Voting
 
     def prepare(self, message: Prepare) -> Promise | None:
-        """Phase 1b; None: no answer."""
+        """Phase 1b. Returns the reply, or None if it may not vote or cannot store the promise."""
         if not self.voting:
             return None
         if may_promise(self.promised, message.ballot):
-            if not self._kept([Promised(message.ballot)] if message.ballot != self.promised else []):
+            if not self._persist([Promised(message.ballot)] if message.ballot != self.promised else []):
                 return None
             self.promised = message.ballot
         else:
@@ -243,40 +255,45 @@
         return Promise(message.ballot, self.promised, self.document.revision, self.pending, self.vector)
 
     def accept(self, message: Accept) -> Vote | None:
-        """Phase 2b; None: no answer."""
+        """Phase 2b. Returns the reply, or None if it may not vote or cannot store what it accepted."""
         if not self.voting:
             return None
-        found = apply_accept(self.promised, self.pending, self.document.revision, message)
-        if found is None:
+        accepted = apply_accept(self.promised, self.pending, self.document.revision, message)
+        if accepted is None:
             self.counts["accept refused"] += 1
         else:
-            if not self._kept([found] if found != self.pending else []):
+            if not self._persist([accepted] if accepted != self.pending else []):
                 return None
-            self.promised, self.pending = message.ballot, found
+            self.promised, self.pending = message.ballot, accepted
         return self._vote(
             message.ballot,
-            found is not None,
+            accepted is not None,
             message.revision,
             message.commit.change.id if message.commit is not None else b"",
         )
 
-    def _vote(self, ballot: Ballot, accepted: bool, voted: int, change_id: bytes) -> Vote:
-        return Vote(ballot, self.promised, accepted, self.document.revision, voted, change_id, self.vector)
+    def _vote(self, ballot: Ballot, accepted: bool, voted_revision: int, change_id: bytes) -> Vote:
+        return Vote(
+            ballot, self.promised, accepted, self.document.revision, voted_revision, change_id, self.vector
+        )
 
-    def overtaken(self, ballot: Ballot) -> Vote:
-        """To a writer whose ballot is below what was promised."""
+    def reject_ballot(self, ballot: Ballot) -> Vote:
+        """The reply to a writer whose ballot is below the promised one."""
         return self._vote(ballot, False, 0, b"")
 
-    # Other voters without a folder
+    # Recovery of other voters
+
+    def on_recover(self, source: str, message: Recover) -> Recovered | None:
+        """The state for a voter that lost its folder, whose new incarnation is stored first.
 
-    def recover(self, source: str, message: Recover) -> Recovered | None:
-        """What a voter that lost its folder needs; its new incarnation is kept before. None: no answer."""
-        if self.voting and message.incarnation > self.vector.get(source, FIRST):
+        None if it cannot be stored, or if the request comes from an incarnation that was replaced.
+        """
+        if self.voting and message.incarnation > self.vector.get(source, FIRST_INCARNATION):
             vector = self.vector | {source: message.incarnation}
-            if not self._kept([Incarnations(vector)]):
+            if not self._persist([Incarnations(vector)]):
                 return None
             self.vector = vector
-        if self.voting and 0 < message.incarnation < self.vector.get(source, FIRST):
+        if self.voting and 0 < message.incarnation < self.vector.get(source, FIRST_INCARNATION):
             return None
         if not self.flush():
             return None
@@ -292,64 +309,68 @@
 
 
 class Recovery:
-    """The way back of a voter whose folder was lost: it asks the others and votes once a majority of all
-    voters, itself not counted, has told it what they know. First which incarnation it is, then the rest."""
+    """Recovers a voter whose folder was lost.
+
+    It asks the other voters in two rounds, each of which takes replies from a majority of all voters without
+    itself. The first gives it a new incarnation. In the second, the others store that incarnation and send
+    their state, with which it votes again.
+    """
 
     def __init__(self, voter: Voter, uid: int) -> None:
         self.voter, self.uid, self.incarnation = voter, uid, 0
         self.answers: dict[str, Recovered] = {}
-        self.without: set[str] = set()  # that have lost theirs, too
+        self.voters_without_folder: set[str] = set()  # other voters that lost theirs, too
 
     def current_answers(self) -> set[str]:
-        """Whose answers count."""
+        """The names of voters whose answers count."""
         return current_answers({name: answer.vector for name, answer in self.answers.items()})
 
-    def asks(self) -> Iterator[tuple[str, Recover]]:
-        """What to send to whom, again and again."""
+    def requests(self) -> Iterator[tuple[str, Recover]]:
+        """The requests to send now, with the names of their voters; repeated until these answer."""
         done = self.current_answers()
         for name in self.voter.voters:
             if name != self.voter.name and name not in done:
                 yield name, Recover(self.uid, self.incarnation)
 
-    def text(self) -> str:
-        """How far it is, for the operators."""
-        wanted, all_of_them = majority(len(self.voter.voters)), len(self.voter.voters)
+    def status(self) -> str:
+        """The progress of the recovery as a line of text, for operators."""
+        needed, total = majority(len(self.voter.voters)), len(self.voter.voters)
         line = (
-            f"no vote: the folder was empty, {len(self.current_answers())} of the {wanted} voters needed "
+            f"no vote: the folder was empty, {len(self.current_answers())} of the {needed} voters needed "
             "have answered"
         )
-        if all_of_them - 1 - len(self.without) < wanted:
+        if total - 1 - len(self.voters_without_folder) < needed:
             line += (
-                f"; {len(self.without) + 1} of {all_of_them} voters have lost their folder, no majority "
-                "is left that remembers: bring one of these folders back"
+                f"; {len(self.voters_without_folder) + 1} of {total} voters have lost their folder, no "
+                "majority is left that knows what was committed: restore one of these folders"
             )
         return line
 
-    def answered(self, source: str, answer: Recovered) -> None:
-        """An answer has come."""
+    def on_reply(self, source: str, answer: Recovered) -> None:
+        """Handle a reply of another voter."""
         if answer.uid != self.uid or answer.incarnation != self.incarnation:
             return
         if not answer.voting:
-            self.without.add(source)
+            self.voters_without_folder.add(source)
             return
-        self.without.discard(source)
+        self.voters_without_folder.discard(source)
         self.answers[source] = answer
 
-    def proceed(self) -> None:
-        """Go on if enough have answered."""
+    def advance(self) -> None:
+        """Finish the current round if enough voters have answered."""
         voter, done = self.voter, self.current_answers()
         if len(done) < majority(len(voter.voters)):
             return
         answers = [self.answers[name] for name in done]
-        vector = merged(answer.vector for answer in answers)
+        vector = merge_vectors(answer.vector for answer in answers)
         if not self.incarnation:
-            self.incarnation = vector.get(voter.name, FIRST) + 1
+            self.incarnation = vector.get(voter.name, FIRST_INCARNATION) + 1
             self.answers = {}
             return
         latest = max(answer.revision for answer in answers)
         if voter.document.revision < latest:
-            return  # it is caught up with first
-        voter.adopt(
+            return  # `CatchUp` gets the missing revisions first
+        voter.resume_voting(
             vector | {voter.name: self.incarnation},
             max(answer.promised for answer in answers),
             highest_accepted(voter.document.revision, (answer.pending for answer in answers)),
--- a/willownotch/controlplane/writer.py
+++ b/willownotch/controlplane/writer.py
@@ -1,12 +1,12 @@
-"""The writer: while a lease is held, it asks for promises and proposes one change after the other. No I/O.
+"""The writer: while it holds the lease, it asks for promises and proposes one change at a time. No I/O.
 
-A writer keeps nothing: whatever it began is in the voters' folders, and the next one goes on from there.
-Before anything of its own it commits again what a majority shows under the highest ballot (phase 1 of Paxos;
-Raft's rule that nothing of an older term is committed by counting has the same cause).
+A writer stores nothing: whatever it began is in the voters' folders, and the next writer continues from that.
+Before it proposes a change of its own, it proposes again what a majority reports under the highest ballot
+(phase 1 of Paxos; Raft does not commit entries of older terms by counting replicas for the same reason).
 
-A change is refused only once a majority has accepted, under the writer's ballot, that there is no proposal
-for the revision yet: an earlier try of it, which some voter may have accepted, can never come back then, and
-no writer that was overtaken refuses anything.
+A change is rejected only once a majority has accepted, under the writer's ballot, an empty proposal for the
+revision. An earlier proposal of the change that some voter may have accepted can no longer be chosen then,
+and a superseded writer cannot reject anything.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from random import Random
 
 from willownotch.controlplane.agreement import (
-    NONE,
+    NO_BALLOT,
     Accept,
-    Answer,
     Ballot,
+    CrashVector,
     Outcome,
     Prepare,
     Promise,
-    Vector,
+    SubmitReply,
     Vote,
     current_answers,
     highest_accepted,
@@ -34,172 +34,177 @@
 from willownotch.controlplane.document import Change, Commit, DocumentError, check_change
 from willownotch.controlplane.voter import Voter
 
-Check = Callable[..., None]  # (document, change): `DocumentError` where the change is unsound
-REMEMBERED = 1024  # refusals, so that a doubled question gets the same answer
+ChangeCheck = Callable[..., None]  # (document, change): raises `DocumentError` if the change is invalid
+MAX_REFUSALS = 1024  # rejected changes whose reply is repeated for a duplicate request
 
 
 class Stage(Enum):
-    """How far a writer is."""
+    """The state of a writer."""
 
-    IDLE = "idle"  # another is the writer, or none
-    PREPARING = "preparing"  # asks for promises
+    IDLE = "idle"  # it holds no lease, or waits before its next ballot
+    PREPARING = "preparing"  # waits for promises of a majority
     LEADING = "leading"
 
 
 @dataclass(slots=True)
-class Asked:
-    """A change that waits, and who has asked for it."""
+class QueuedChange:
+    """A change that waits to be proposed, and the members that have submitted it."""
 
     change: Change
-    sources: set[str]
+    requesters: set[str]
 
 
 @dataclass(slots=True)
 class Proposal:
-    """What the voters are asked to accept. No `asked`: an earlier writer's, committed again."""
+    """The current proposal; without `queued`, it is that of an earlier writer, proposed again."""
 
     accept: Accept
-    asked: Asked | None
+    queued: QueuedChange | None
     refusal: str = ""
-    votes: dict[str, Vector] = field(default_factory=dict)
+    votes: dict[str, CrashVector] = field(default_factory=dict)
 
     @property
-    def id(self) -> bytes:
-        """Of its change; empty where there is none."""
+    def change_id(self) -> bytes:
+        """The id of its change; empty if it has none."""
         return self.accept.commit.change.id if self.accept.commit is not None else b""
 
 
 class Writer:
-    """One member as the writer. `send(name, message)` takes what it says, also to its own voter."""
+    """One member as a writer. `send(name, message)` sends to another member or to its own voter."""
 
     def __init__(
         self,
         voter: Voter,
         uid: int,
-        check: Check,
-        queue_most: int,
-        again_s: float,
+        check: ChangeCheck,
+        max_queued: int,
+        retry_s: float,
         random: Random,
         send: Callable[[str, object], None],
     ) -> None:
-        self.voter, self.uid, self.check, self.queue_most = voter, uid, check, queue_most
-        self.again_s, self.random, self.send = again_s, random, send
+        self.voter, self.uid, self.check, self.max_queued = voter, uid, check, max_queued
+        self.retry_s, self.random, self.send = retry_s, random, send
         self.stage = Stage.IDLE
         self.token: int | None = None  # of the lease
-        self.ballot = NONE
-        self.highest = 0  # token of a ballot that was heard of or used
+        self.ballot = NO_BALLOT
+        self.highest = 0  # highest ballot token that it used or heard of
         self.promises: dict[str, Promise] = {}
         self.proposal: Proposal | None = None
-        self.queue: deque[Asked] = deque()
-        self.refused: dict[bytes, Answer] = {}
-        self.begin_at = self.again_at = 0.0
-        self.tries = 0
+        self.queue: deque[QueuedChange] = deque()
+        self.refusals: dict[bytes, SubmitReply] = {}
+        self.prepare_at = self.retry_at = 0.0
+        self.failed_ballots = 0
         self.counts = voter.counts
 
     # The lease
 
     def lead(self, now: float, token: int | None) -> None:
-        """What the lease says at this moment."""
+        """Update the lease: its token, or None if this member does not hold it."""
         if token is None and self.token is not None:
             self._stand_down()
         elif token is not None and token != self.token:
             self._stand_down()
-            self.begin_at, self.tries = now, 0
+            self.prepare_at, self.failed_ballots = now, 0
         self.token = token
-        if token is not None and self.stage is Stage.IDLE and now >= self.begin_at:
-            self._begin(now)
+        if token is not None and self.stage is Stage.IDLE and now >= self.prepare_at:
+            self._start_ballot(now)
 
-    def _begin(self, now: float) -> None:
-        # A lease's tokens may have been forgotten with folders, what was promised is not: the ballot is above
-        # both. One ballot is never begun twice, as it may have proposed something already.
+    def _start_ballot(self, now: float) -> None:
+        # The ballot exceeds both the lease's token and all known promises, as tokens may restart when folders
+        # are lost and promises do not. A ballot is never reused, as it may already have a proposal.
         known = max(self.voter.promised.token, self.voter.document.token, self.highest)
         self.highest = max(self.token or 0, known + 1 if known >= (self.token or 0) else 0)
         self.ballot, self.stage = Ballot(self.highest, self.uid), Stage.PREPARING
-        self.again_at = now
+        self.retry_at = now
         self.counts["ballots begun"] += 1
 
     def _stand_down(self) -> None:
-        """Stop. Who has asked asks the next writer, which finds out what became of it."""
+        """Stop writing. Members submit their changes to the next writer, which determines the outcomes."""
         self.stage, self.proposal = Stage.IDLE, None
         self.promises.clear()
         self.queue.clear()
-        self.refused.clear()
+        self.refusals.clear()
 
-    def overtaken(self, now: float, promised: Ballot) -> None:
-        """A voter has promised a higher ballot. If the lease says otherwise, it is tried again, above that,
-        after a while that two writers do not share."""
+    def on_higher_ballot(self, now: float, promised: Ballot) -> None:
+        """Stand down, as a voter has promised a higher ballot.
+
+        If the lease is still held, a ballot above that one follows after a random, exponential delay, so that
+        two writers do not keep displacing each other.
+        """
         self.highest = max(self.highest, promised.token)
         if self.stage is Stage.IDLE:
             return
         self.counts["overtaken"] += 1
         self._stand_down()
-        self.tries += 1
-        self.begin_at = now + self.again_s * 2 ** min(self.tries, 5) * self.random.uniform(0.2, 1.0)
+        self.failed_ballots += 1
+        self.prepare_at = now + self.retry_s * 2 ** min(self.failed_ballots, 5) * self.random.uniform(
+            0.2, 1.0
+        )
 
-    # Answers of voters
+    # Replies of voters
 
-    def promised(self, now: float, source: str, message: Promise) -> None:
-        """Phase 1b has come."""
+    def on_promise(self, now: float, source: str, message: Promise) -> None:
+        """Handle a reply of phase 1b."""
         if self.stage is Stage.IDLE or message.ballot != self.ballot:
             return
         if message.promised != self.ballot:
-            self.overtaken(now, message.promised)
+            self.on_higher_ballot(now, message.promised)
         elif self.stage is Stage.PREPARING:
             self.promises[source] = message
 
-    def voted(self, now: float, source: str, message: Vote) -> None:
-        """Phase 2b has come."""
+    def on_vote(self, now: float, source: str, message: Vote) -> None:
+        """Handle a reply of phase 2b."""
         if self.stage is Stage.IDLE or message.ballot != self.ballot:
             return
         proposal = self.proposal
         if message.promised > self.ballot:
-            self.overtaken(now, message.promised)
+            self.on_higher_ballot(now, message.promised)
         elif (
             message.accepted
             and proposal is not None
-            and message.voted == proposal.accept.revision
-            and message.id == proposal.id
+            and message.voted_revision == proposal.accept.revision
+            and message.change_id == proposal.change_id
         ):
             proposal.votes[source] = message.vector
 
     # Changes
 
-    def submitted(self, source: str, ballot: Ballot, change: Change) -> Answer | None:
-        """Somebody asks for a change; the answer, if it is known at once."""
+    def on_submit(self, source: str, ballot: Ballot, change: Change) -> SubmitReply | None:
+        """Handle a submitted change; returns the reply if the outcome is known at once."""
         if self.stage is not Stage.LEADING or ballot != self.ballot:
             return None
-        if change.id in self.refused:
-            return self.refused[change.id]
+        if change.id in self.refusals:
+            return self.refusals[change.id]
         waiting = list(self.queue)
-        if self.proposal is not None and self.proposal.asked is not None:
-            waiting.append(self.proposal.asked)
-        for asked in waiting:
-            if asked.change.id == change.id:
-                asked.sources.add(source)
+        if self.proposal is not None and self.proposal.queued is not None:
+            waiting.append(self.proposal.queued)
+        for queued in waiting:
+            if queued.change.id == change.id:
+                queued.requesters.add(source)
                 return None
-        if len(self.queue) >= self.queue_most:
+        if len(self.queue) >= self.max_queued:
             self.counts["queue full"] += 1
-            return Answer(
+            return SubmitReply(
                 self.ballot,
                 change.id,
                 Outcome.UNKNOWN,
                 0,
-                f"{len(self.queue)} changes wait already: nothing was done, ask again",
+                f"{len(self.queue)} changes already wait at the writer: nothing was done, try again",
             )
-        self.queue.append(Asked(change, {source}))
+        self.queue.append(QueuedChange(change, {source}))
         return None
 
-    def _answer(self, asked: Asked, outcome: Outcome, revision: int, text: str) -> None:
-        answer = Answer(self.ballot, asked.change.id, outcome, revision, text)
+    def _answer(self, queued: QueuedChange, outcome: Outcome, revision: int, text: str) -> None:
+        answer = SubmitReply(self.ballot, queued.change.id, outcome, revision, text)
         if outcome is Outcome.REFUSED:
-            self.refused[asked.change.id] = answer
-            while len(self.refused) > REMEMBERED:
-                del self.refused[next(iter(self.refused))]
-        for source in sorted(asked.sources):
+            self.refusals[queued.change.id] = answer
+            while len(self.refusals) > MAX_REFUSALS:
+                del self.refusals[next(iter(self.refusals))]
+        for source in sorted(queued.requesters):
             self.send(source, answer)
 
-    def proceed(self, now: float) -> None:
-        """Go on as far as possible."""
+    def advance(self, now: float) -> None:
+        """Make all progress that needs no further message."""
         document = self.voter.document
         if self.stage is Stage.PREPARING:
             names = current_answers({name: promise.vector for name, promise in self.promises.items()})
@@ -208,8 +213,8 @@
             promises = [self.promises[name] for name in names]
             latest = max(promise.revision for promise in promises)
             if document.revision < latest:
-                return  # it is caught up with first
-            self.stage, self.tries = Stage.LEADING, 0
+                return  # `CatchUp` gets the missing revisions first
+            self.stage, self.failed_ballots = Stage.LEADING, 0
             found = highest_accepted(document.revision, (promise.pending for promise in promises))
             self.promises.clear()
             if found is not None and found.commit is not None:
@@ -217,94 +222,96 @@
                 self._propose(now, found.commit, None)
         while self.stage is Stage.LEADING:
             if self.proposal is not None:
-                if not self._carried(self.proposal):
+                if not self._is_settled(self.proposal):
                     break
             elif self.queue:
-                self._consider(now, self.queue.popleft())
+                self._handle_change(now, self.queue.popleft())
             else:
                 break
 
-    def _carried(self, proposal: Proposal) -> bool:
-        """Whether there is nothing more to do about the proposal."""
+    def _is_settled(self, proposal: Proposal) -> bool:
+        """Finish the proposal if it can be finished; returns whether it was."""
         accept, document = proposal.accept, self.voter.document
         if accept.revision <= document.revision:
-            # It was learnt from another: this one, or what another writer proposed.
+            # The revision came from another member: it is this proposal, or another writer's.
             self.proposal = None
-            if proposal.asked is not None:
-                self.queue.appendleft(proposal.asked)
+            if proposal.queued is not None:
+                self.queue.appendleft(proposal.queued)
             return True
         if len(current_answers(proposal.votes)) < majority(len(self.voter.voters)):
             return False
         if accept.commit is None:
             self.proposal = None
-            if proposal.asked is not None:
-                self._answer(proposal.asked, Outcome.REFUSED, 0, proposal.refusal)
+            if proposal.queued is not None:
+                self._answer(proposal.queued, Outcome.REFUSED, 0, proposal.refusal)
             return True
-        self.voter.learn([accept.commit])
+        self.voter.apply_commits([accept.commit])
         return document.revision >= accept.revision
 
-    def _consider(self, now: float, asked: Asked) -> None:
-        document, change = self.voter.document, asked.change
-        if (revision := document.found(change.id)) is not None:
-            return self._answer(asked, Outcome.COMMITTED, revision, "")
+    def _handle_change(self, now: float, queued: QueuedChange) -> None:
+        document, change = self.voter.document, queued.change
+        if (revision := document.committed_revision(change.id)) is not None:
+            return self._answer(queued, Outcome.COMMITTED, revision, "")
         if change.base > document.revision or change.base < document.oldest():
-            # Whether it is in is not known here: of old changes the ids are forgotten.
+            # It may be committed already: the ids of commits older than the history are not stored.
             return self._answer(
-                asked,
+                queued,
                 Outcome.UNKNOWN,
                 0,
                 (
                     f"it is based on revision {change.base}, known are {document.oldest()} to "
-                    f"{document.revision}: look at the last one, and ask for what is lacking as a new change"
+                    f"{document.revision}: check the latest one, and submit what is missing as a new change"
                 ),
             )
-        if (lost_to := document.conflict(change)) is not None:
-            key = min(change.touched() & lost_to.change.touched())
+        if (conflicting := document.conflict(change)) is not None:
+            key = min(change.touched_keys() & conflicting.change.touched_keys())
             return self._answer(
-                asked,
+                queued,
                 Outcome.LOST,
-                lost_to.revision,
+                conflicting.revision,
                 (
-                    f"revision {lost_to.revision} by {lost_to.change.author} has changed {key!r} since "
-                    f"revision {change.base}"
+                    f"revision {conflicting.revision} by {conflicting.change.author} has changed {key!r} "
+                    f"since revision {change.base}"
                 ),
             )
         try:
             check_change(change)
             self.check(document, change)
         except DocumentError as fault:
-            return self._propose(now, None, asked, str(fault))
+            return self._propose(now, None, queued, str(fault))
         if document.token > self.ballot.token:
-            # A later writer's commit: what is proposed under this ballot would fall back behind it.
-            return self.overtaken(now, Ballot(document.token, 0))
+            # A later writer has committed: a proposal under this ballot would have a lower token.
+            return self.on_higher_ballot(now, Ballot(document.token, 0))
         self._propose(
             now,
             Commit(document.revision + 1, self.ballot.token, change, document.digest_after(change)),
-            asked,
+            queued,
         )
 
-    def _propose(self, now: float, commit: Commit | None, asked: Asked | None, refusal: str = "") -> None:
+    def _propose(
+        self, now: float, commit: Commit | None, queued: QueuedChange | None, refusal: str = ""
+    ) -> None:
         accept = Accept(self.ballot, self.voter.document.revision + 1, commit)
-        self.proposal, self.again_at = Proposal(accept, asked, refusal), now
-        self._ask(now)
+        self.proposal, self.retry_at = Proposal(accept, queued, refusal), now
+        self._send_requests(now)
 
-    # Time
+    # Retries
 
-    def _ask(self, now: float) -> None:
-        """Ask all that have not answered, or whose answer does not count."""
+    def _send_requests(self, now: float) -> None:
+        """Send the current request to all voters without a counted reply."""
         if self.stage is Stage.PREPARING:
-            done = current_answers({name: promise.vector for name, promise in self.promises.items()})
+            answered = current_answers({name: promise.vector for name, promise in self.promises.items()})
             message: Prepare | Accept = Prepare(self.ballot)
         elif self.proposal is not None:
-            done, message = current_answers(self.proposal.votes), self.proposal.accept
+            answered, message = current_answers(self.proposal.votes), self.proposal.accept
         else:
             return
-        self.again_at = now + self.again_s
+        self.retry_at = now + self.retry_s
         for name in self.voter.voters:
-            if name not in done:
+            if name not in answered:
                 self.send(name, message)
 
     def tick(self, now: float) -> None:
-        """Ask again what was not answered."""
-        if self.stage is not Stage.IDLE and now >= self.again_at:
-            self._ask(now)
+        """Repeat requests that were not answered in time."""
+        if self.stage is not Stage.IDLE and now >= self.retry_at:
+            self._send_requests(now)
