--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -1,4 +1,4 @@
-"""A control plane folder: torn tails at every byte, failures at every operation, other owners and formats."""
+"""The folder of the control plane: torn tails at each byte, failures at each operation, owners, formats."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 APPENDS = [[b"a"], [b"b" * 300, b"c"], [b"d" * 5000]]
 
 
-def opened(folder, files=REAL, owner=OWNER):
-    made = Store(folder, files, owner)
-    return made, made.load()
+def open_store(folder, files=REAL, owner=OWNER):
+    store = Store(folder, files, owner)
+    return store, store.load()
 
 
-def read(folder, owner=OWNER):
-    made, payloads = opened(folder, owner=owner)
-    made.close()
+def read_payloads(folder, owner=OWNER):
+    store, payloads = open_store(folder, owner=owner)
+    store.close()
     return payloads
 
 
-def written(folder, appends=APPENDS):
-    made, _ = opened(folder)
+def write_store(folder, appends=APPENDS):
+    store, _ = open_store(folder)
     for payloads in appends:
-        made.append(payloads)
-    made.close()
+        store.append(payloads)
+    store.close()
     return (folder / stores.NAME).read_bytes()
 
 
@@ -43,177 +43,187 @@
 @given(
     appends=st.lists(st.lists(st.binary(max_size=2000), max_size=4), max_size=6), rewritten=st.integers(0, 6)
 )
-def test_what_was_appended_comes_back_in_order(tmp_path_factory, appends, rewritten):
+def test_appended_payloads_are_read_in_order(tmp_path_factory, appends, rewritten):
     folder = tmp_path_factory.mktemp("any") / "made"
-    made, found = opened(folder)
+    store, found = open_store(folder)
     assert found == []
     for n, payloads in enumerate(appends):
         if n == rewritten:
-            made.rewrite(flat(appends[:n]))
-        made.append(payloads)
-    assert made.size == (folder / stores.NAME).stat().st_size
-    made.close()
-    assert read(folder) == flat(appends)
+            store.rewrite(flat(appends[:n]))
+        store.append(payloads)
+    assert store.size == (folder / stores.NAME).stat().st_size
+    store.close()
+    assert read_payloads(folder) == flat(appends)
 
 
-def test_a_tail_torn_at_any_byte_is_cut_off_and_appended_behind(tmp_path):
-    whole = written(tmp_path / "made")
-    last = len(written(tmp_path / "shorter", APPENDS[:-1]))
+def test_a_tail_torn_at_any_byte_is_truncated_and_appends_continue(tmp_path):
+    whole = write_store(tmp_path / "made")
+    last = len(write_store(tmp_path / "shorter", APPENDS[:-1]))
     for at in range(last, len(whole)):
         folder = tmp_path / f"torn{at}"
         folder.mkdir()
         (folder / stores.NAME).write_bytes(whole[:at])
-        made, found = opened(folder)
+        store, found = open_store(folder)
         assert found == flat(APPENDS[:-1])
-        assert made.torn_bytes == at - last and made.size == last
-        made.append([b"next"])
-        made.close()
-        assert read(folder) == [*flat(APPENDS[:-1]), b"next"]
+        assert store.torn_bytes == at - last and store.size == last
+        store.append([b"next"])
+        store.close()
+        assert read_payloads(folder) == [*flat(APPENDS[:-1]), b"next"]
 
 
 @pytest.mark.parametrize("tail", [b"\0" * 600, b"wnP1", b"wnP1" * 9, b"\xff" * 12])
-def test_a_tail_that_is_no_frame_is_cut_off(tmp_path, tail):
-    whole = written(tmp_path / "made")
+def test_a_tail_that_is_not_a_frame_is_truncated(tmp_path, tail):
+    whole = write_store(tmp_path / "made")
     (tmp_path / "made" / stores.NAME).write_bytes(whole + tail)
-    made, found = opened(tmp_path / "made")
-    assert found == flat(APPENDS) and made.torn_bytes == len(tail)
-    made.close()
+    store, found = open_store(tmp_path / "made")
+    assert found == flat(APPENDS) and store.torn_bytes == len(tail)
+    store.close()
     assert (tmp_path / "made" / stores.NAME).read_bytes() == whole
 
 
-def test_damage_at_any_byte_before_the_last_frame_is_told_and_left_as_it_is(tmp_path):
+def test_damage_at_any_byte_before_the_last_frame_is_reported_and_left_unchanged(tmp_path):
     small = [[b"promised"], [b"accepted"], [b"committed"]]
-    whole = written(tmp_path / "made", small)
-    last = len(written(tmp_path / "shorter", small[:-1]))
+    whole = write_store(tmp_path / "made", small)
+    last = len(write_store(tmp_path / "shorter", small[:-1]))
     path = tmp_path / "made" / stores.NAME
     for at in range(last):
         damaged = bytearray(whole)
         damaged[at] ^= 0x40
         path.write_bytes(damaged)
         with pytest.raises(StoreError, match=f"{path}.*(damaged at byte|belongs to|format)"):
-            read(tmp_path / "made")
+            read_payloads(tmp_path / "made")
         assert path.read_bytes() == damaged
 
 
 @pytest.mark.parametrize("left", range(0, 40))
-def test_a_file_cut_within_its_head_is_told(tmp_path, left):
-    whole = written(tmp_path / "made", [])
+def test_a_file_truncated_within_its_header_is_reported(tmp_path, left):
+    whole = write_store(tmp_path / "made", [])
     assert len(whole) > 20
     (tmp_path / "made" / stores.NAME).write_bytes(whole[: min(left, len(whole) - 1)])
     with pytest.raises(StoreError, match="damaged at byte 0"):
-        read(tmp_path / "made")
+        read_payloads(tmp_path / "made")
 
 
 def test_another_owners_folder_is_refused(tmp_path):
-    written(tmp_path / "made")
+    write_store(tmp_path / "made")
     with pytest.raises(StoreError, match="belongs to 'member m1', not to 'member m2'"):
-        read(tmp_path / "made", "member m2")
-    assert read(tmp_path / "made") == flat(APPENDS)
+        read_payloads(tmp_path / "made", "member m2")
+    assert read_payloads(tmp_path / "made") == flat(APPENDS)
 
 
 def test_a_newer_format_is_refused(tmp_path, monkeypatch):
     monkeypatch.setattr(stores, "FORMAT", 2)
-    written(tmp_path / "made")
+    write_store(tmp_path / "made")
     monkeypatch.undo()
     with pytest.raises(StoreError, match=r"records: is of format 2, this version reads up to 1"):
-        read(tmp_path / "made")
+        read_payloads(tmp_path / "made")
 
 
 def test_frames_of_another_kind_are_refused(tmp_path):
-    whole = written(tmp_path / "made")
+    whole = write_store(tmp_path / "made")
     (tmp_path / "made" / stores.NAME).write_bytes(whole + stores.frame(b"\xc3"))
     with pytest.raises(StoreError, match="another kind"):
-        read(tmp_path / "made")
+        read_payloads(tmp_path / "made")
 
 
-def test_a_folder_is_open_once(tmp_path):
-    made, _ = opened(tmp_path / "made")
+def test_a_folder_cannot_be_opened_twice(tmp_path):
+    store, _ = open_store(tmp_path / "made")
     with pytest.raises(StoreError, match="another process has this folder"):
-        read(tmp_path / "made")
-    made.append([b"still"])
-    made.close()
-    assert read(tmp_path / "made") == [b"still"]
+        read_payloads(tmp_path / "made")
+    store.append([b"still"])
+    store.close()
+    assert read_payloads(tmp_path / "made") == [b"still"]
 
 
-TRIED = [[], *([bytes([n]) * 200, b"%d" % n] for n in range(6))]
+POSSIBLE_TAILS = [[], *([bytes([n]) * 200, b"%d" % n] for n in range(6))]
 
 
-def story(folder, files, kept):
-    """Open, append, write anew, append; `kept` has what an append or a rewrite returned for."""
-    made = Store(folder, files, OWNER)
+def run_operations(folder, files, acknowledged):
+    """Open, append, rewrite, append; `acknowledged` gets the payloads of each append that succeeded."""
+    store = Store(folder, files, OWNER)
     try:
-        made.load()
+        store.load()
         for n in range(6):
             payload = bytes([n]) * 200
             try:
                 if n == 3:
-                    made.rewrite(kept)
-                made.append([payload, b"%d" % n])
+                    store.rewrite(acknowledged)
+                store.append([payload, b"%d" % n])
             except OSError:
                 continue
-            kept += [payload, b"%d" % n]
+            acknowledged += [payload, b"%d" % n]
     except OSError:
-        pass  # it could not be opened
+        pass  # the folder could not be opened
     finally:
-        made.close()
+        store.close()
 
 
 @pytest.mark.parametrize("kind", [Kind.NO_SPACE, Kind.IO_ERROR])
-def test_a_failure_at_any_operation_keeps_all_that_was_told_and_nothing_else(tmp_path, kind):
-    counting = Faulty()
-    story(tmp_path / "counted", counting, [])
-    for number in range(1, counting.count + 1):
+def test_a_failure_at_any_operation_keeps_exactly_the_acknowledged_payloads(tmp_path, kind):
+    recording = Faulty()
+    run_operations(tmp_path / "counted", recording, [])
+    for number in range(1, recording.count + 1):
         for operation in ("*", "append-once-short"):
             faults = [Fault(kind, number=number)]
             if operation != "*":
-                # Half of it is written, then the disk is full.
+                # Half of the data is written, then the disk is full.
                 faults = [
                     Fault(Kind.SHORT, "append", number=number),
                     Fault(kind, "append", number=number + 1),
                 ]
-            kept = []
+            acknowledged = []
             folder = tmp_path / f"{kind.name}{number}{operation == '*'}"
-            story(folder, Faulty(lambda faults=faults: faults), kept)
-            assert read(folder) == kept, (number, operation, counting.operations[number - 1])
+            run_operations(folder, Faulty(lambda faults=faults: faults), acknowledged)
+            assert read_payloads(folder) == acknowledged, (
+                number,
+                operation,
+                recording.operations[number - 1],
+            )
 
 
 @pytest.mark.parametrize("kind", [Kind.NO_SPACE, Kind.IO_ERROR])
-def test_from_any_operation_on_everything_fails_then_works_again(tmp_path, kind):
-    counting = Faulty()
-    story(tmp_path / "counted", counting, [])
-    for number in range(1, counting.count + 1):
+def test_a_period_of_failures_that_starts_at_any_operation_loses_nothing(tmp_path, kind):
+    recording = Faulty()
+    run_operations(tmp_path / "counted", recording, [])
+    for number in range(1, recording.count + 1):
         files = Faulty()
         files.faults = lambda files=files, number=number: (
             [Fault(kind)] if number <= files.count < number + 7 else []
         )
-        kept = []
+        acknowledged = []
         folder = tmp_path / f"{kind.name}{number}"
-        story(folder, files, kept)
-        found = read(folder)
-        assert found[: len(kept)] == kept, (number, counting.operations[number - 1])
-        # Where it fails until the end, the last that was refused may stand there, but only whole.
-        assert found[len(kept) :] in TRIED if files.count < number + 7 else found == kept, number
-
-
-def test_a_new_file_whose_name_is_not_synced_holds_and_is_synced_before_the_next_write(tmp_path):
+        run_operations(folder, files, acknowledged)
+        found = read_payloads(folder)
+        assert found[: len(acknowledged)] == acknowledged, (number, recording.operations[number - 1])
+        # If it fails until the end, the last failed append may be in the file, but only as a whole.
+        assert (
+            found[len(acknowledged) :] in POSSIBLE_TAILS
+            if files.count < number + 7
+            else found == acknowledged
+        ), number
+
+
+def test_a_new_file_whose_folder_is_not_synced_is_used_and_the_folder_is_synced_before_the_next_write(
+    tmp_path,
+):
     faults = []
     files = Faulty(lambda: faults)
-    made, _ = opened(tmp_path / "made", files)
-    made.append([b"old"])
+    store, _ = open_store(tmp_path / "made", files)
+    store.append([b"old"])
     faults.append(Fault(Kind.IO_ERROR, "sync", "made"))
-    made.rewrite([b"new"])
+    store.rewrite([b"new"])
     with pytest.raises(OSError, match="Input/output"):
-        made.append([b"refused"])
+        store.append([b"refused"])
     faults.clear()
     files.operations.clear()
-    made.append([b"next"])
+    store.append([b"next"])
     assert [name for _, operation, name in files.operations if operation == "sync"] == ["made", stores.NAME]
-    made.close()
-    assert read(tmp_path / "made") == [b"new", b"next"]
+    store.close()
+    assert read_payloads(tmp_path / "made") == [b"new", b"next"]
 
 
 class KilledError(Exception):
-    """Stands for the process that is gone."""
+    """Simulates the end of the process."""
 
 
 def kill():
@@ -221,41 +231,43 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.DIE, Kind.DIE_TORN])
-def test_an_end_at_any_operation_keeps_all_that_was_told(tmp_path, kind):
-    counting = Faulty()
-    story(tmp_path / "counted", counting, [])
-    for number in range(1, counting.count + 1):
-        kept = []
+def test_a_crash_at_any_operation_keeps_all_acknowledged_payloads(tmp_path, kind):
+    recording = Faulty()
+    run_operations(tmp_path / "counted", recording, [])
+    for number in range(1, recording.count + 1):
+        acknowledged = []
         folder = tmp_path / f"{kind.name}{number}"
         with pytest.raises(KilledError):
-            story(folder, Faulty(lambda number=number: [Fault(kind, number=number)], kill), kept)
-        found = read(folder)
-        assert found[: len(kept)] == kept, (number, counting.operations[number - 1])
-        # What was under way may be there, too, but only whole.
-        assert found[len(kept) :] in TRIED
+            run_operations(
+                folder, Faulty(lambda number=number: [Fault(kind, number=number)], kill), acknowledged
+            )
+        found = read_payloads(folder)
+        assert found[: len(acknowledged)] == acknowledged, (number, recording.operations[number - 1])
+        # The append in progress may be in the file, too, but only as a whole.
+        assert found[len(acknowledged) :] in POSSIBLE_TAILS
 
 
-def test_a_full_disk_leaves_the_file_as_it_was_and_room_lets_it_go_on(tmp_path):
+def test_a_full_disk_leaves_the_file_unchanged_and_appends_work_once_it_has_space(tmp_path):
     faults = []
     files = Faulty(lambda: faults)
-    made, _ = opened(tmp_path / "made", files)
-    made.append([b"first"])
+    store, _ = open_store(tmp_path / "made", files)
+    store.append([b"first"])
     before = (tmp_path / "made" / stores.NAME).read_bytes()
     faults += [Fault(Kind.SHORT, "append", number=files.count + 1), Fault(Kind.NO_SPACE, "append")]
     for _ in range(3):
         with pytest.raises(OSError, match="No space left"):
-            made.append([b"x" * 1000])
+            store.append([b"x" * 1000])
         assert (tmp_path / "made" / stores.NAME).read_bytes() == before
     faults.clear()
-    made.append([b"second"])
-    made.close()
-    assert read(tmp_path / "made") == [b"first", b"second"]
+    store.append([b"second"])
+    store.close()
+    assert read_payloads(tmp_path / "made") == [b"first", b"second"]
 
 
-def test_what_cannot_be_cut_off_at_once_is_cut_off_before_the_next_write(tmp_path):
+def test_a_torn_write_that_cannot_be_truncated_at_once_is_truncated_before_the_next_one(tmp_path):
     faults = []
     files = Faulty(lambda: faults)
-    made, _ = opened(tmp_path / "made", files)
+    store, _ = open_store(tmp_path / "made", files)
     faults += [
         Fault(Kind.SHORT, "append", number=files.count + 1),
         Fault(Kind.IO_ERROR, "append", number=files.count + 2),
@@ -263,48 +275,48 @@
     ]
     for _ in range(2):
         with pytest.raises(OSError, match="Input/output"):
-            made.append([b"x" * 1000])
-    assert (tmp_path / "made" / stores.NAME).stat().st_size > made.size
+            store.append([b"x" * 1000])
+    assert (tmp_path / "made" / stores.NAME).stat().st_size > store.size
     faults.clear()
-    made.append([b"next"])
-    made.close()
-    assert read(tmp_path / "made") == [b"next"]
+    store.append([b"next"])
+    store.close()
+    assert read_payloads(tmp_path / "made") == [b"next"]
 
 
-def test_a_write_is_synced_before_it_counts(tmp_path):
+def test_a_write_is_synced_before_it_returns(tmp_path):
     files = Faulty()
-    made, _ = opened(tmp_path / "made", files)
+    store, _ = open_store(tmp_path / "made", files)
     files.operations.clear()
-    made.append([b"x"])
+    store.append([b"x"])
     assert [operation for _, operation, _ in files.operations] == ["append", "sync"]
     files.operations.clear()
-    made.rewrite([b"x"])
+    store.rewrite([b"x"])
     operations = [operation for _, operation, _ in files.operations]
     assert (
         operations.index("sync")
         < operations.index("replace")
         < len(operations) - 1 - operations[::-1].index("sync")
     )
-    made.close()
+    store.close()
 
 
-def test_the_file_is_worth_writing_anew_once_most_of_it_is_over(tmp_path):
-    made, _ = opened(tmp_path / "made")
-    while not made.worth_rewriting(20_000):
-        made.append([b"x" * 20_000])
-    assert made.size > 2 * 20_000 + stores.SLACK
-    made.rewrite([b"x" * 20_000])
-    assert not made.worth_rewriting(20_000) and made.size < 21_000
-    made.close()
-    assert read(tmp_path / "made") == [b"x" * 20_000]
+def test_the_file_is_worth_rewriting_once_most_of_it_is_obsolete(tmp_path):
+    store, _ = open_store(tmp_path / "made")
+    while not store.worth_rewriting(20_000):
+        store.append([b"x" * 20_000])
+    assert store.size > 2 * 20_000 + stores.REWRITE_SLACK_BYTES
+    store.rewrite([b"x" * 20_000])
+    assert not store.worth_rewriting(20_000) and store.size < 21_000
+    store.close()
+    assert read_payloads(tmp_path / "made") == [b"x" * 20_000]
 
 
-def test_a_large_document_is_written_in_pieces(tmp_path):
+def test_a_large_rewrite_uses_several_frames(tmp_path):
     files = Faulty()
-    made, _ = opened(tmp_path / "made", files)
+    store, _ = open_store(tmp_path / "made", files)
     payloads = [bytes([n % 251]) * 100_000 for n in range(40)]
     files.operations.clear()
-    made.rewrite(iter(payloads))
+    store.rewrite(iter(payloads))
     assert 4 <= sum(operation == "append" for _, operation, _ in files.operations) <= 6
-    made.close()
-    assert read(tmp_path / "made") == payloads
+    store.close()
+    assert read_payloads(tmp_path / "made") == payloads
--- a/willownotch/controlplane/store.py
+++ b/willownotch/controlplane/store.py
@@ -1,11 +1,12 @@
-"""What a member or a follower keeps in its folder: records in one log, each append whole or not there.
+"""The folder of a member or a follower: a log of records with atomic appends.
 
-A frame is magic, length, checksum, body, as the journal's are; its body is the payloads of one append, so
-that a torn write leaves none of them. The first frame says the format's version and whose folder it is.
-Everything is synced before an append returns: a voter's promise has to outlast a loss of power, too.
+A frame has a magic number, a length, a checksum and a body, like the frames of the journal. Its body contains
+all payloads of one append, so that a torn write leaves none of them. The first frame has the version of the
+format and the owner of the folder. An append is synced before it returns, so that a voter's promise survives
+a loss of power.
 
-A frame that cannot be read is the torn tail of a write that nobody was told of if no frame comes after it,
-and is cut off. Anywhere else it is damage: what a voter has promised is no longer known, so nothing is read.
+An unreadable frame without another frame after it is the torn tail of an append that was not acknowledged; it
+is truncated. Anywhere else it is damage: the voter's promises are no longer known, so nothing is read.
 """
 
 from __future__ import annotations
@@ -23,39 +24,39 @@
 NAME, NEW_NAME = "records", "records.new"
 MAGIC = b"wnP1"
 FORMAT = 1
-SLACK = 256 * 1024  # bytes of records that are over, beyond as many as are not, before a new file is written
-START_OVER_HINT = "wanted: the file as it was, or an emptied folder, with which its owner begins anew"
-PIECE = 1 << 20  # bytes of a frame, about, where a file is written anew
+REWRITE_SLACK_BYTES = 256 * 1024  # by which obsolete records must exceed the live ones before a rewrite
+START_OVER_HINT = "wanted: the file as it was, or an empty folder, with which its owner starts over"
+REWRITE_FRAME_BYTES = 1 << 20  # approximate bytes of a frame in a rewritten file
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class StoreError(Exception):
-    """A folder cannot be used; the text has its path and what to do."""
+    """A folder cannot be used; the text has its path and how to fix it."""
 
 
 class BusyError(StoreError):
-    """Another process has the folder now."""
+    """Another process has the folder open."""
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame."""
+class Header(msgspec.Struct, frozen=True, array_like=True):
+    """The body of the first frame."""
 
     format: int
     owner: str = ""
 
 
-_head = msgspec.msgpack.Decoder(Head).decode
+_header = msgspec.msgpack.Decoder(Header).decode
 _payloads = msgspec.msgpack.Decoder(list[bytes]).decode
 
 
 def frame(body: bytes) -> bytes:
-    """A body as it stands in the file."""
+    """The frame of a body."""
     return FRAME.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def body_at(data: bytes, at: int) -> bytes | None:
-    """The body of the frame at an offset, or None if there is no whole one."""
+    """The body of the frame at an offset, or None if there is no complete frame."""
     if not data.startswith(MAGIC, at) or at + FRAME.size > len(data):
         return None
     _, length, checksum = FRAME.unpack_from(data, at)
@@ -64,7 +65,7 @@
 
 
 def bodies(data: bytes) -> tuple[list[bytes], int]:
-    """The bodies of all whole frames from the beginning, and where the last of them ends."""
+    """The bodies of all complete frames from the start of the data, and the offset behind the last one."""
     found, at = [], 0
     while (body := body_at(data, at)) is not None:
         found.append(body)
@@ -72,8 +73,8 @@
     return found, at
 
 
-def another_after(data: bytes, at: int) -> bool:
-    """Whether a whole frame comes anywhere after this offset."""
+def has_frame_after(data: bytes, at: int) -> bool:
+    """Whether there is a complete frame anywhere after an offset."""
     while (at := data.find(MAGIC, at + 1)) >= 0:
         if body_at(data, at) is not None:
             return True
@@ -81,23 +82,23 @@
 
 
 class Store:
-    """The records of one owner's folder. One thread at a time calls it; one process at a time has it open."""
+    """The records in one owner's folder, for one thread and one process at a time."""
 
     def __init__(self, folder: Path, files: Files, owner: str) -> None:
         self.folder, self.files, self.owner = folder, files, owner
         self.path = folder / NAME
-        self.size = 0  # bytes of the file
-        self.torn_bytes = 0  # bytes of a torn tail that were found and cut off
+        self.size = 0  # of the file, in bytes
+        self.torn_bytes = 0  # size of the torn tail that `load` truncated
         self._file = -1
         self._lock: FolderLock | None = None
-        self._torn = False  # what a failed write left may stand behind `size`
-        self._named = True  # the file's name is known to outlast a loss of power
+        self._tail_torn = False  # the file may have the rest of a failed write behind `size`
+        self._name_synced = True  # the folder was synced after the file got its name
 
     def load(self) -> list[bytes]:
-        """Open the folder, made if it is not there; the payloads in order, none where it is new.
+        """Open the folder, which is created if it does not exist; returns its payloads in order.
 
-        `StoreError` if another process, another owner or a newer version has it, or it is damaged before its
-        tail; `OSError` if it cannot be read or written.
+        Raises `StoreError` if another process has it open, it belongs to another owner or a newer version, or
+        it is damaged before its tail; `OSError` if it cannot be read or written.
         """
         self.files.make_folder(self.folder)
         if self._lock is None:
@@ -126,9 +127,9 @@
         return payloads
 
     def peek(self) -> list[bytes]:
-        """The payloads as they are now, without opening the folder: another process may write there.
+        """Read the current payloads without opening the folder, which another process may have open.
 
-        `StoreError` and `OSError` as `load`, but that nobody else may have it.
+        Raises `StoreError` and `OSError` like `load`, except for another process.
         """
         try:
             return self._parse(self.files.read_whole(self.path))[0]
@@ -136,11 +137,13 @@
             return []
 
     def _parse(self, data: bytes) -> tuple[list[bytes], int]:
-        """The payloads of a file, and where the last of its frames ends."""
+        """The payloads in the data of a file, and the offset behind the last frame."""
         found, end = bodies(data)
-        self._check_head(found)
-        if end < len(data) and another_after(data, end):
-            raise StoreError(f"{self.path}: damaged at byte {end}, and more stands behind; {START_OVER_HINT}")
+        self._check_header(found)
+        if end < len(data) and has_frame_after(data, end):
+            raise StoreError(
+                f"{self.path}: damaged at byte {end}, with further frames after it; {START_OVER_HINT}"
+            )
         payloads: list[bytes] = []
         try:
             for body in found[1:]:
@@ -149,9 +152,9 @@
             raise StoreError(f"{self.path}: has frames of another kind; {START_OVER_HINT}") from None
         return payloads, end
 
-    def _check_head(self, found: list[bytes]) -> None:
+    def _check_header(self, found: list[bytes]) -> None:
         try:
-            head = _head(found[0])
+            head = _header(found[0])
         except (IndexError, msgspec.DecodeError):
             raise StoreError(f"{self.path}: damaged at byte 0; {START_OVER_HINT}") from None
         if head.format > FORMAT:
@@ -166,33 +169,33 @@
             )
 
     def append(self, payloads: list[bytes]) -> None:
-        """Keep payloads, all or none; they outlast a loss of power once this returns.
+        """Append payloads, all or none; they survive a loss of power once this returns.
 
-        `OSError` if they could not be kept: none of them is then, except that the next process may find them
-        whole where the trouble lasts until this one ends.
+        Raises `OSError` if they could not be stored. None of them are kept then, except that the next process
+        may find them complete if the file cannot be truncated before this process ends.
         """
         if not payloads:
             return
-        self._settle()
+        self._repair()
         data = frame(_encode(payloads))
         try:
             self.files.append_all(self._file, data)
             self.files.sync(self._file)
         except OSError:
-            self._torn = True
+            self._tail_torn = True
             try:
-                self._settle()
+                self._repair()
             except OSError:
-                pass  # the next write has to do it first
+                pass  # the next append tries it again first
             raise
         self.size += len(data)
 
-    def _settle(self) -> None:
-        """Make good what failed before; `OSError` if that fails again."""
-        if self._torn:
+    def _repair(self) -> None:
+        """Truncate and sync what an earlier failure left; raises `OSError` if it fails again."""
+        if self._tail_torn:
             self.files.truncate(self._file, self.size)
-            self._torn = False
-        if not self._named:
+            self._tail_torn = False
+        if not self._name_synced:
             self._sync_folder()
 
     def _sync_folder(self) -> None:
@@ -201,18 +204,18 @@
             self.files.sync(folder)
         finally:
             self.files.close(folder)
-        self._named = True
+        self._name_synced = True
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
-        """Let a new file of these payloads take the place of the old one in one step.
+        """Replace the file atomically by a new one with these payloads.
 
-        `OSError` if it could not be, and the old one holds. Where the new one holds and only its name is not
-        yet known to outlast a loss of power, the next append sees to that before anything else.
+        Raises `OSError` if that failed; the old file stays in use then. If only the sync of the folder
+        failed, the new file is in use, and the next append syncs the folder first.
         """
         new = self.folder / NEW_NAME
         file, size = self.files.create(new), 0
         try:
-            for body in self._pieces(payloads):
+            for body in self._frame_bodies(payloads):
                 data = frame(body)
                 self.files.append_all(file, data)
                 size += len(data)
@@ -223,36 +226,35 @@
             try:
                 self.files.remove(new)
             except OSError:
-                pass  # the next start removes it
+                pass  # `load` removes it at the next start
             raise
         if self._file >= 0:
             self.files.close(self._file)
-        self._file, self.size, self._torn, self._named = file, size, False, False
+        self._file, self.size, self._tail_torn, self._name_synced = file, size, False, False
         try:
             self._sync_folder()
         except OSError:
-            pass  # as said above
+            pass  # the next append syncs it
 
-    def _pieces(self, payloads: Iterable[bytes]) -> Iterator[bytes]:
-        yield _encode(Head(FORMAT, self.owner))
-        piece: list[bytes] = []
+    def _frame_bodies(self, payloads: Iterable[bytes]) -> Iterator[bytes]:
+        yield _encode(Header(FORMAT, self.owner))
+        batch: list[bytes] = []
         length = 0
         for payload in payloads:
-            piece.append(payload)
+            batch.append(payload)
             length += len(payload)
-            if length >= PIECE:
-                yield _encode(piece)
-                piece, length = [], 0
-        if piece:
-            yield _encode(piece)
+            if length >= REWRITE_FRAME_BYTES:
+                yield _encode(batch)
+                batch, length = [], 0
+        if batch:
+            yield _encode(batch)
 
     def worth_rewriting(self, live_bytes: int) -> bool:
-        """Whether more of the file is over than is not, by a slack; `live_bytes` is what a new one would
-        have."""
-        return self.size > 2 * live_bytes + SLACK
+        """Whether obsolete records exceed the live ones by the slack; a new file has about `live_bytes`."""
+        return self.size > 2 * live_bytes + REWRITE_SLACK_BYTES
 
     def close(self) -> None:
-        """Let the file and the folder go."""
+        """Close the file and release the folder."""
         if self._file >= 0:
             self.files.close(self._file)
             self._file = -1
