--- a/willownotch/controlplane/__init__.py
+++ b/willownotch/controlplane/__init__.py
@@ -1,11 +1,11 @@
-"""The control plane: nine members agree on one versioned document, senders follow it.
+"""The control plane: nine members agree on one versioned document, and senders follow it.
 
-What enters: changes of configuration, by operators at any member. What leaves: one sequence of revisions,
-the same everywhere, each accepted by a majority of the members before anybody follows it, and how many
-senders have which one in force. It must not decide anything about messages, and no sender needs it to go on:
-one that hears of no member keeps the last revision that it had.
+Its input are configuration changes, which operators submit at any member. Its output is one sequence of
+revisions, the same at all members and senders, and the number of senders that apply each. A majority of the
+members has accepted a revision before any sender follows it. The control plane makes no decisions about
+messages, and no sender depends on it to run: one that reaches no member keeps its last revision.
 
-`document` is what is agreed on, `commit` how members agree, `serving` how a member serves its followers,
-`follower` the sender's side of that; all four are free of I/O. `member` and `sender` are their edges, `store`
-is the folder, `entries` the entries that a sender can apply.
+`document` is the document, `commit` the agreement among members, `serving` how a member serves its followers,
+and `follower` the sender's side of that; all four are free of I/O. `member` and `sender` do the I/O for them,
+`store` is the folder on disk, and `entries` defines the entries that a sender can apply.
 """
