--- a/tests/test_controlplane_commit.py
+++ b/tests/test_controlplane_commit.py
@@ -40,7 +40,7 @@
     msgspec.msgpack.Decoder(Message).decode,
     msgspec.msgpack.Decoder(Record).decode,
 )
-TIMING = AgreementTiming(outcome_timeout_s=3.0, max_queued=4)
+TIMING = AgreementTiming(patience=3.0, max_queued=4)
 
 
 @dataclass
@@ -613,7 +613,7 @@
 
 
 def test_queues_are_bounded_and_a_full_queue_is_reported():
-    fleet = AgreementFleet(3, timing=AgreementTiming(max_queued=4, max_submissions=9, outcome_timeout_s=3.0))
+    fleet = AgreementFleet(3, timing=AgreementTiming(max_queued=4, max_submissions=9, patience=3.0))
     fleet.elect("m0", 1)
     fleet.is_cut = lambda a, b: True
     submitted = [fleet.submit("m0", fleet.change({f"k{n}": b"1"}, "m0")) for n in range(12)]
--- a/willownotch/controlplane/commit.py
+++ b/willownotch/controlplane/commit.py
@@ -84,7 +84,7 @@
 
     retry_s: float = 0.3  # between retries of requests that were not answered
     heartbeat_s: float = 1.0  # between heartbeats of the writer
-    outcome_timeout_s: float = 10.0  # for an outcome; after it, the outcome is unknown
+    patience: float = 10.0  # seconds to wait for an outcome, which is unknown after that
     max_queued: int = 64  # changes that wait at the writer
     max_submissions: int = 64  # changes submitted at this member without an outcome yet
     status_interval_s: float = 10.0  # between log lines of a voter that cannot vote
@@ -149,10 +149,10 @@
         if name not in voters:
             raise ValueError(f"{name!r} is not one of the voters: {', '.join(voters)}")
         self.name, self.voters, self.document = name, voters, document
-        self.timing = timing or AgreementTiming()
+        self.pace = timing or AgreementTiming()
         self.voter = Voter(name, voters, document, persist, restored, bootstrap)
         self.writer = Writer(
-            self.voter, uid, check, self.timing.max_queued, self.timing.retry_s, random, self._send
+            self.voter, uid, check, self.pace.max_queued, self.pace.retry_s, random, self._send
         )
         self.catchup = CatchUp(self.voter, self._send)
         self.recovery = None if self.voter.voting else Recovery(self.voter, uid)
@@ -164,7 +164,7 @@
         self._outbox: list[Send] = []
         self._to_self: deque[Message] = deque()  # messages to this member
         self._heartbeat_at = self._recovery_at = self._due = now
-        self._status_at = now + self.timing.retry_s
+        self._status_at = now + self.pace.retry_s
         self._announced_ballot = NO_BALLOT
         self._differing_revision = -1  # the last revision at which another member's digest differed
         self._handlers: dict[type, Callable[[float, str, Message], None]] = {
@@ -203,7 +203,7 @@
                     Outcome.UNKNOWN,
                     0,
                     ("the writer did not answer" if submission.ballot != NO_BALLOT else "no writer is known")
-                    + f" within {self.timing.outcome_timeout_s:g} s: "
+                    + f" within {self.pace.patience:g} s: "
                     f"submit the change again by the id {submission.change.id.hex()}",
                 )
             else:
@@ -216,7 +216,7 @@
             or self.writer.stage is Stage.PREPARING
             or self.writer.proposal is not None
         )
-        self._due = now + min(self.timing.retry_s, self.timing.heartbeat_s) / (3 if busy else 1)
+        self._due = now + min(self.pace.retry_s, self.pace.heartbeat_s) / (3 if busy else 1)
         return self._process(now)
 
     def receive(self, now: float, source: str, message: object) -> list[Send]:
@@ -240,7 +240,7 @@
         """Submit a change, or submit it again; the outcome is added to `results`."""
         if (revision := self.document.committed_revision(change.id)) is not None:
             self._finish(change.id, Outcome.COMMITTED, revision, "")
-        elif len(self.submissions) >= self.timing.max_submissions and change.id not in self.submissions:
+        elif len(self.submissions) >= self.pace.max_submissions and change.id not in self.submissions:
             self._finish(
                 change.id,
                 Outcome.UNKNOWN,
@@ -249,7 +249,7 @@
             )
         else:
             submission = self.submissions.setdefault(change.id, Submission(change, 0.0))
-            submission.expires_at = now + self.timing.outcome_timeout_s
+            submission.expires_at = now + self.pace.patience
             self._forward(now, submission)
         return self._process(now)
 
@@ -330,14 +330,14 @@
                         self._send(name, CommitBatch(self.document.revision, (commit,)))
 
     def _send_heartbeat(self, now: float) -> None:
-        self._announced_ballot, self._heartbeat_at = self.writer.ballot, now + self.timing.heartbeat_s
+        self._announced_ballot, self._heartbeat_at = self.writer.ballot, now + self.pace.heartbeat_s
         for name in self.voters:
             self._send(name, Heartbeat(self.writer.ballot, self.document.revision, self.document.digest))
 
     def _forward(self, now: float, submission: Submission) -> None:
         """Send a change to the writer: at once to a new one, again if it has not answered."""
         if self.leader and (submission.ballot != self.leader_ballot or now >= submission.resubmit_at):
-            submission.ballot, submission.resubmit_at = self.leader_ballot, now + self.timing.heartbeat_s
+            submission.ballot, submission.resubmit_at = self.leader_ballot, now + self.pace.heartbeat_s
             self._send(self.leader, Submit(self.leader_ballot, submission.change))
 
     def _finish(self, change_id: bytes, outcome: Outcome, revision: int, text: str) -> None:
@@ -348,10 +348,10 @@
         if self.recovery is None:
             return
         if now >= self._recovery_at:
-            self._recovery_at = now + self.timing.retry_s
+            self._recovery_at = now + self.pace.retry_s
             self._outbox += [Send(name, message) for name, message in self.recovery.requests()]
         if now >= self._status_at:
-            self._status_at = now + self.timing.status_interval_s
+            self._status_at = now + self.pace.status_interval_s
             self.log_lines.append(self.recovery.status())
 
     def _advance_recovery(self, now: float) -> None:
