--- a/willownotch/controlplane/entries.py
+++ b/willownotch/controlplane/entries.py
@@ -99,8 +99,8 @@
         return None
     try:
         kind, removable = _type_at(parts)
-    except ValueError as fault:
-        return True, str(fault)
+    except ValueError as error:
+        return True, str(error)
     if value is None and removable:
         return None
     if removable and isinstance(value, dict):
@@ -110,8 +110,8 @@
             return False, f"unknown key {unknown[0]!r}, allowed: {', '.join(sorted(_fields(kind)))}"
     try:
         msgspec.convert(value, kind)
-    except msgspec.ValidationError as fault:
-        return False, f"{fault}"
+    except msgspec.ValidationError as error:
+        return False, f"{error}"
     return None
 
 
@@ -126,7 +126,7 @@
     The value is one JSON text up to the end of the line. Lines that begin with `#` are comments. Raises
     `EntriesError` with all errors, each as `file:line:column: error, allowed`.
     """
-    found: dict[str, bytes] = {}
+    entries: dict[str, bytes] = {}
     lines: dict[str, int] = {}
     errors = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -148,8 +148,8 @@
         lines[key] = number
         try:
             value = msgspec.json.decode(rest.strip())
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            message = str(fault)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            message = str(error)
             position = BYTE_POSITION.search(message)
             errors.append(
                 f"{file}:{number}:{at + (int(position[1]) if position else 0)}: "
@@ -159,10 +159,10 @@
         if (wrong := _find_error(key, value)) is not None:
             errors.append(f"{file}:{number}:{column if wrong[0] else at}: {wrong[1]}")
             continue
-        found[key] = encode(value)
+        entries[key] = encode(value)
     if errors:
         raise EntriesError(errors)
-    return found
+    return entries
 
 
 def unparse(entries: Iterable[tuple[str, bytes]]) -> str:
@@ -177,35 +177,35 @@
 
 def overlay(file: Any, entries: Mapping[str, bytes]) -> Any:
     """A copy of a decoded configuration file with entries applied. The file's objects keep their order."""
-    made = msgspec.json.decode(msgspec.json.encode(file))
+    overlaid = msgspec.json.decode(msgspec.json.encode(file))
     for key in sorted(entries):
         *path, last = key.split("/")[1:]
-        here = made
+        node = overlaid
         for part in path:
-            here = _child(here, part)
+            node = _child(node, part)
         value = msgspec.json.decode(entries[key])
-        if isinstance(here, list):
-            rest = [item for item in here if item.get("name") != last]
-            places = [n for n, item in enumerate(here) if item.get("name") == last]
+        if isinstance(node, list):
+            rest = [item for item in node if item.get("name") != last]
+            places = [n for n, item in enumerate(node) if item.get("name") == last]
             if value is not None:
                 rest.insert(places[0] if places else len(rest), value)
-            here[:] = rest
+            node[:] = rest
         else:
-            here[last] = value
-    return made
+            node[last] = value
+    return overlaid
 
 
-def _child(here: Any, part: str) -> Any:
+def _child(node: Any, part: str) -> Any:
     """The child with a name; created if it does not exist."""
-    if isinstance(here, list):
-        found = next((item for item in here if item.get("name") == part), None)
-        if found is None:
-            found = {"name": part}
-            here.append(found)
-        return found
-    if part not in here:
-        here[part] = [] if part in ("services", "orgs") else {}
-    return here[part]
+    if isinstance(node, list):
+        child = next((item for item in node if item.get("name") == part), None)
+        if child is None:
+            child = {"name": part}
+            node.append(child)
+        return child
+    if part not in node:
+        node[part] = [] if part in ("services", "orgs") else {}
+    return node[part]
 
 
 def check(document: Document, change: Change, reference: bytes | None = None) -> None:
@@ -232,5 +232,5 @@
         entries.pop(key, None)
     try:
         read_config(reference, {}, overlay=lambda file: overlay(file, entries))
-    except ConfigError as fault:
-        raise DocumentError(f"with the reference configuration: {fault}") from None
+    except ConfigError as error:
+        raise DocumentError(f"with the reference configuration: {error}") from None
--- a/willownotch/controlplane/store.py
+++ b/willownotch/controlplane/store.py
@@ -66,11 +66,11 @@
 
 def bodies(data: bytes) -> tuple[list[bytes], int]:
     """The bodies of all complete frames from the start of the data, and the offset behind the last one."""
-    found, at = [], 0
+    complete, at = [], 0
     while (body := body_at(data, at)) is not None:
-        found.append(body)
+        complete.append(body)
         at += FRAME.size + len(body)
-    return found, at
+    return complete, at
 
 
 def has_frame_after(data: bytes, at: int) -> bool:
@@ -138,23 +138,23 @@
 
     def _parse(self, data: bytes) -> tuple[list[bytes], int]:
         """The payloads in the data of a file, and the offset behind the last frame."""
-        found, end = bodies(data)
-        self._check_header(found)
+        frame_bodies, end = bodies(data)
+        self._check_header(frame_bodies)
         if end < len(data) and has_frame_after(data, end):
             raise StoreError(
                 f"{self.path}: damaged at byte {end}, with further frames after it; {START_OVER_HINT}"
             )
         payloads: list[bytes] = []
         try:
-            for body in found[1:]:
+            for body in frame_bodies[1:]:
                 payloads += _payloads(body)
         except msgspec.DecodeError:
             raise StoreError(f"{self.path}: has frames of another kind; {START_OVER_HINT}") from None
         return payloads, end
 
-    def _check_header(self, found: list[bytes]) -> None:
+    def _check_header(self, frame_bodies: list[bytes]) -> None:
         try:
-            head = _header(found[0])
+            head = _header(frame_bodies[0])
         except (IndexError, msgspec.DecodeError):
             raise StoreError(f"{self.path}: damaged at byte 0; {START_OVER_HINT}") from None
         if head.format > FORMAT:
--- a/willownotch/controlplane/voter.py
+++ b/willownotch/controlplane/voter.py
@@ -206,8 +206,8 @@
                 break
             try:
                 self.document.commit(commit)
-            except DocumentError as fault:
-                self._reject_commit(str(fault))
+            except DocumentError as error:
+                self._reject_commit(str(error))
                 break
             self.unpersisted.append(Committed(commit))
             self.committed.append(commit)
@@ -220,8 +220,8 @@
             return
         try:
             self._apply_snapshot(snapshot)
-        except DocumentError as fault:
-            return self._reject_commit(str(fault))
+        except DocumentError as error:
+            return self._reject_commit(str(error))
         self.unpersisted += snapshot
         self.snapshots_installed += 1
         self._forget_pending()
@@ -327,9 +327,9 @@
 
     def requests(self) -> Iterator[tuple[str, Recover]]:
         """The requests to send now, with the names of their voters; repeated until these answer."""
-        done = self.current_answers()
+        answered = self.current_answers()
         for name in self.voter.voters:
-            if name != self.voter.name and name not in done:
+            if name != self.voter.name and name not in answered:
                 yield name, Recover(self.uid, self.incarnation)
 
     def status(self) -> str:
@@ -358,10 +358,10 @@
 
     def advance(self) -> None:
         """Finish the current round if enough voters have answered."""
-        voter, done = self.voter, self.current_answers()
-        if len(done) < majority(len(voter.voters)):
+        voter, answered = self.voter, self.current_answers()
+        if len(answered) < majority(len(voter.voters)):
             return
-        answers = [self.answers[name] for name in done]
+        answers = [self.answers[name] for name in answered]
         vector = merge_vectors(answer.vector for answer in answers)
         if not self.incarnation:
             self.incarnation = vector.get(voter.name, FIRST_INCARNATION) + 1
--- a/willownotch/controlplane/writer.py
+++ b/willownotch/controlplane/writer.py
@@ -277,8 +277,8 @@
         try:
             check_change(change)
             self.check(document, change)
-        except DocumentError as fault:
-            return self._propose(now, None, queued, str(fault))
+        except DocumentError as error:
+            return self._propose(now, None, queued, str(error))
         if document.token > self.ballot.token:
             # A later writer has committed: a proposal under this ballot would have a lower token.
             return self.on_higher_ballot(now, Ballot(document.token, 0))
