--- a/tests/test_controlplane_commit.py
+++ b/tests/test_controlplane_commit.py
@@ -492,7 +492,7 @@
     assert fleet.submit_and_wait("m1", fleet.change({"k": b"z"}, base=0)).outcome is Outcome.LOST
 
 
-# Rejected changes
+# Refused changes
 
 
 def test_a_vote_for_an_empty_proposal_does_not_count_for_a_change():
--- a/willownotch/controlplane/commit.py
+++ b/willownotch/controlplane/commit.py
@@ -400,7 +400,7 @@
 
     def _on_submit_reply(self, now: float, source: str, message: SubmitReply) -> None:
         submission = self.submissions.get(message.change_id)
-        # A rejection by a superseded writer is not final if the change was sent to a later writer.
+        # A refusal by a superseded writer is not final if the change was sent to a later writer.
         if submission is not None and (
             message.ballot >= submission.ballot or message.outcome in (Outcome.COMMITTED, Outcome.LOST)
         ):
--- a/willownotch/controlplane/writer.py
+++ b/willownotch/controlplane/writer.py
@@ -4,9 +4,9 @@
 Before it proposes a change of its own, it proposes again what a majority reports under the highest ballot
 (phase 1 of Paxos; Raft does not commit entries of older terms by counting replicas for the same reason).
 
-A change is rejected only once a majority has accepted, under the writer's ballot, an empty proposal for the
+A change is refused only once a majority has accepted, under the writer's ballot, an empty proposal for the
 revision. An earlier proposal of the change that some voter may have accepted can no longer be chosen then,
-and a superseded writer cannot reject anything.
+and a superseded writer cannot refuse anything.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from willownotch.controlplane.voter import Voter
 
 ChangeCheck = Callable[..., None]  # (document, change): raises `DocumentError` if the change is invalid
-MAX_REFUSALS = 1024  # rejected changes whose reply is repeated for a duplicate request
+MAX_REFUSALS = 1024  # refused changes whose reply is repeated for a duplicate request
 
 
 class Stage(Enum):
