--- a/willownotch/controlplane/wire.py
+++ b/willownotch/controlplane/wire.py
@@ -1,20 +1,22 @@
-"""What a follower and a member say to each other, each in one datagram. Plain values; bytes by msgspec's
-msgpack. Spans are milliseconds of the teller's own clock; nobody tells a time of day.
-
-    follower                           member
-    Poll(held, in force, refused)  ->
-                                   <-  News(revision, digest, the difference if it fits) or Refused(come back)
-                                   <-  Push(the difference), when a change is committed
-    Fetch(a part, pieces of it)    ->
-                                   <-  Piece ..., or Refused(come back)
-    Leave                          ->
-
-Poll and News are the request and response of a subscription with ack and nack (the xDS transport protocol of
-Envoy: the revision that is held and in force acknowledges, the refused one with its text is the nack). A part
-is the difference between two revisions, or, where that is gone or too large, one of the tree of digests of a
-snapshot and the entries of buckets that differ (anti-entropy by Merkle trees; Dynamo, 2007).
-
-`Counts` travels between members, beside the messages of `commit`.
+"""The messages between a follower and a member, each in one datagram. They carry plain values, encoded by
+msgspec's msgpack. Durations are milliseconds of the source's own clock; no message carries a time of day.
+
+    follower                                      member
+    Poll(held, in force, refused revision)    ->
+                                              <-  PollReply(revision, digest, the delta if it fits)
+                                                  or Refused(retry after)
+                                              <-  Push(the delta), when a change is committed
+    Fetch(a part, piece numbers)              ->
+                                              <-  Piece ..., or Refused(retry after)
+    Leave                                     ->
+
+Poll and PollReply are the request and response of a subscription with ack and nack (the xDS transport
+protocol of Envoy): the revision that is held and in force acknowledges, the refused one with its text is the
+nack. A part is the delta between two revisions. Where that is no longer kept or too large, parts are the
+digests of a snapshot's groups and buckets and the entries of the buckets that differ (anti-entropy by Merkle
+trees; Dynamo, 2007).
+
+`FollowerCounts` travels between members, beside the messages of `commit`.
 """
 
 from __future__ import annotations
@@ -27,43 +29,45 @@
 from willownotch.controlplane.document import Delta
 
 VERSION = 33  # of the frames: `peers.seal.Seal`
-MAX_DATAGRAM_BYTES = 1400  # bytes, with the seal
-PIECE_BYTES = 1100  # bytes of a part in one datagram
-MAX_INLINE_BYTES = 1150  # bytes of a difference that travels within News or Push
-MAX_PIECES_PER_FETCH = 16  # in one Fetch
-MAX_NAME_BYTES, MAX_TEXT_CHARS = 100, 200  # bytes of a follower's or member's name; characters of a refusal
+MAX_DATAGRAM_BYTES = 1400  # with the seal
+PIECE_BYTES = 1100  # of a part, in one datagram
+MAX_INLINE_BYTES = 1150  # of a delta that travels within PollReply or Push
+MAX_PIECES_PER_FETCH = 16
+MAX_NAME_BYTES, MAX_TEXT_CHARS = 100, 200  # of a follower's or member's name; of the text of a nack
 
 
 class UpdateMethod(IntEnum):
-    """How a follower gets from what it holds to what its member has."""
+    """How a follower gets from the revision that it holds to its member's revision."""
 
-    NOTHING = 0  # it has it, or more; or the member cannot say now
-    INLINE = 1  # the difference is in this message
-    DELTA = 2  # the difference is to be fetched
-    TREE = 3  # what differs is to be found by digests
+    NOTHING = 0  # it is up to date or ahead, or the member cannot build the delta now
+    INLINE = 1  # the delta is in this message
+    DELTA = 2  # the delta is to be fetched
+    TREE = 3  # the differing entries are to be found by comparing digests
 
 
 class PartKind(IntEnum):
     """What can be fetched."""
 
-    DELTA = 0  # revision: to; node: from
-    GROUPS = 1  # the snapshot and its groups' digests (`Tree`); revision and node are 0
-    BUCKETS = 2  # mask: a bit for each group; the digests of their buckets, one behind the other
-    ENTRIES = 3  # node: the group; mask: a bit for each of its buckets; their entries
+    DELTA = 0  # revision: the later one; node: the earlier one
+    GROUPS = (
+        1  # the snapshot's head with the digests of its groups (`SnapshotDigests`); revision and node are 0
+    )
+    BUCKETS = 2  # mask: one bit for each group; the concatenated digests of their buckets
+    ENTRIES = 3  # node: the group; mask: one bit for each of its buckets; the entries of these buckets
 
 
 class RefusalReason(IntEnum):
     """Why a member refuses."""
 
-    FULL = 0  # as many followers as it takes
-    RATE = 1  # too many new ones at once
-    COPIES = 2  # as many whole copies as it serves at once
-    BUSY = 3  # too many pieces wait to be sent
-    GONE = 4  # the part is no longer there: ask anew
+    FULL = 0  # it has its maximum of followers
+    RATE = 1  # too many new followers at once
+    COPIES = 2  # it serves its maximum of full copies
+    BUSY = 3  # too many pieces are queued
+    GONE = 4  # the part is no longer available: start again with a new request
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
-    """Something to be fetched: the fields are as `Kind` says."""
+    """Something that can be fetched; `PartKind` says what the fields mean."""
 
     kind: PartKind
     revision: int
@@ -72,8 +76,11 @@
 
 
 class Poll(msgspec.Struct, tag=80, frozen=True, array_like=True):
-    """What I hold, what I have in force, what I could not apply; `member`: who is meant, an address may be
-    another's by now. A probe asks without following. `uid` tells one process under a name from the next."""
+    """The revision that a follower holds, the one in force, and the one that it could not apply.
+
+    `member` names the addressee, since an address may be reused by another member. `probe`: asks without
+    following. `uid` distinguishes successive processes with the same name.
+    """
 
     source: str
     uid: int
@@ -89,8 +96,8 @@
 
 
 class PollReply(msgspec.Struct, tag=81, frozen=True, array_like=True):
-    """The answer: what I have, and how you get there. `size`: bytes of the difference. `apart_ms`: for how
-    long I have not heard of a majority; what I have may be old."""
+    """A member's revision, and how to get to it. `size`: bytes of the delta. `isolated_ms`: for how long the
+    member has heard no majority, in which case its revision may be outdated."""
 
     source: str
     number: int
@@ -104,7 +111,7 @@
 
 
 class Push(msgspec.Struct, tag=82, frozen=True, array_like=True):
-    """A revision was committed. No difference in it: it is too large, poll."""
+    """A revision was committed. Without a delta, which is then too large to push, the follower is to poll."""
 
     source: str
     revision: int
@@ -113,7 +120,7 @@
 
 
 class Refused(msgspec.Struct, tag=83, frozen=True, array_like=True):
-    """Not now: come back after so long. `number` is that of the Poll or of the part."""
+    """A refusal, with the delay after which to retry. `number` is that of the Poll or of the Fetch."""
 
     source: str
     number: int
@@ -122,7 +129,7 @@
 
 
 class Fetch(msgspec.Struct, tag=84, frozen=True, array_like=True):
-    """Send these pieces of a part; `number` is the asker's for it."""
+    """Asks for pieces of a part; `number` is the follower's number for the part."""
 
     source: str
     member: str
@@ -132,7 +139,7 @@
 
 
 class Piece(msgspec.Struct, tag=85, frozen=True, array_like=True):
-    """One piece of so many."""
+    """Piece number `piece`, from 0, of the `pieces` that make the part."""
 
     source: str
     number: int
@@ -142,7 +149,7 @@
 
 
 class Leave(msgspec.Struct, tag=86, frozen=True, array_like=True):
-    """I follow another now, or end."""
+    """The follower ends, or follows another member from now on."""
 
     source: str
     uid: int
@@ -153,7 +160,7 @@
 
 
 class SnapshotDigests(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot: its revision, and the digests of its groups, one behind the other."""
+    """A snapshot's revision and digest, and the concatenated digests of its groups."""
 
     revision: int
     token: int
@@ -162,8 +169,8 @@
 
 
 class Laggard(msgspec.Struct, frozen=True, array_like=True):
-    """A follower that has not got the last revision in force, with what it has and for how long it has been
-    behind or not been heard."""
+    """A follower without the last revision, or one that is unheard: the revision in force there, and for how
+    long it has been behind or unheard."""
 
     name: str
     in_force: int
@@ -179,10 +186,11 @@
 
 
 class FollowerCounts(msgspec.Struct, tag=90, frozen=True, array_like=True):
-    """What a member knows of its followers; lists are bounded, the counts are whole.
+    """The state of a member's followers. The lists are truncated, the counts are complete.
 
-    `in_force`: how many followers have each revision in force, latest first; older ones than are listed are
-    the `older`. `arrived`: who came lately and how long ago, so that who named them unheard forgets them.
+    `in_force`: number of followers by the revision in force there, latest first; `older` counts the followers
+    at the revisions beyond the list. `arrived`: followers that arrived recently and how long ago (ms); a
+    member that still counts one of them as unheard forgets it.
     """
 
     source: str
@@ -203,47 +211,47 @@
 
 encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
-_delta = msgspec.msgpack.Decoder(Delta).decode
-_tree = msgspec.msgpack.Decoder(SnapshotDigests).decode
-_entries = msgspec.msgpack.Decoder(dict[str, bytes]).decode
+_decode_delta = msgspec.msgpack.Decoder(Delta).decode
+_decode_snapshot_digests = msgspec.msgpack.Decoder(SnapshotDigests).decode
+_decode_entries = msgspec.msgpack.Decoder(dict[str, bytes]).decode
 
 
 def decode(data: bytes) -> Message:
-    """A message; `msgspec.DecodeError` if it is none or breaks a bound."""
+    """Decodes a message. Raises `msgspec.DecodeError` if it is malformed or exceeds a limit."""
     message = _decode(data)
     if isinstance(message, Poll | Fetch | Leave):
-        _bounded(message.source, message.member)
+        _check_names(message.source, message.member)
     if isinstance(message, Fetch) and not 1 <= len(message.pieces) <= MAX_PIECES_PER_FETCH:
         raise msgspec.DecodeError(
-            f"{len(message.pieces)} pieces asked for, allowed: 1 to {MAX_PIECES_PER_FETCH}"
+            f"{len(message.pieces)} pieces requested, allowed: 1 to {MAX_PIECES_PER_FETCH}"
         )
     if isinstance(message, Poll) and len(message.text) > MAX_TEXT_CHARS:
-        raise msgspec.DecodeError("the text is too long")
+        raise msgspec.DecodeError("the text of a Poll is too long")
     return message
 
 
-def _bounded(*names: str) -> None:
+def _check_names(*names: str) -> None:
     if any(not 1 <= len(name.encode()) <= MAX_NAME_BYTES for name in names):
-        raise msgspec.DecodeError(f"a name of no or too many bytes, allowed: 1 to {MAX_NAME_BYTES}")
+        raise msgspec.DecodeError(f"a name is empty or too long, allowed bytes: 1 to {MAX_NAME_BYTES}")
 
 
-def _checked(read: Callable, data: bytes):
+def _decode_part(decoder: Callable, data: bytes):
     try:
-        return read(data)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ValueError(f"what was fetched cannot be read: {fault}") from None
+        return decoder(data)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ValueError(f"a fetched part cannot be read: {error}") from None
 
 
 def read_delta(data: bytes) -> Delta:
-    """A difference; `ValueError`."""
-    return _checked(_delta, data)
+    """Decodes a fetched delta. Raises `ValueError` if it is malformed."""
+    return _decode_part(_decode_delta, data)
 
 
 def read_snapshot_digests(data: bytes) -> SnapshotDigests:
-    """A snapshot's top; `ValueError`."""
-    return _checked(_tree, data)
+    """Decodes a snapshot's fetched head. Raises `ValueError` if it is malformed."""
+    return _decode_part(_decode_snapshot_digests, data)
 
 
 def read_entries(data: bytes) -> dict[str, bytes]:
-    """Entries of buckets; `ValueError`."""
-    return _checked(_entries, data)
+    """Decodes the fetched entries of buckets. Raises `ValueError` if they are malformed."""
+    return _decode_part(_decode_entries, data)
