--- a/willownotch/controlplane/token_bucket.py
+++ b/willownotch/controlplane/token_bucket.py
@@ -1,34 +1,34 @@
-"""A token bucket. No clock."""
+"""A token bucket that is told the time by its caller."""
 
 from __future__ import annotations
 
-ROUNDING_SLACK = 1e-6  # what is missing by rounding when it is time
+ROUNDING_SLACK = 1e-6  # tokens that floating-point rounding may leave missing at the time of `ready_at`
 
 
 class TokenBucket:
-    """A token bucket: so many a second, so many at once."""
+    """A token bucket that refills at `per_s` tokens a second, up to `burst` tokens."""
 
     def __init__(self, per_s: float, burst: float, now: float) -> None:
         self.per_s, self.burst = per_s, burst
-        self._left, self.at = burst, now
+        self._tokens, self.at = burst, now
 
     def available(self, now: float) -> float:
-        """What may be spent; below zero where it was overdrawn."""
-        self._left = min(self.burst, self._left + max(0.0, now - self.at) * self.per_s)
+        """The tokens available at `now`; negative after an overdraft."""
+        self._tokens = min(self.burst, self._tokens + max(0.0, now - self.at) * self.per_s)
         self.at = max(self.at, now)
-        return self._left
+        return self._tokens
 
     def try_spend(self, now: float, amount: float = 1.0) -> bool:
-        """Spend, if there is so much."""
+        """Spends tokens and returns True, or returns False if there are too few."""
         if self.available(now) < amount - ROUNDING_SLACK:
             return False
-        self._left -= amount
+        self._tokens -= amount
         return True
 
     def spend_into_debt(self, now: float, amount: float) -> None:
-        """Spend all the same, up to one second's worth of debt."""
-        self._left = max(-self.per_s, self.available(now) - amount)
+        """Spends tokens even if there are too few, down to a debt of one second's refill."""
+        self._tokens = max(-self.per_s, self.available(now) - amount)
 
     def ready_at(self, now: float, amount: float) -> float:
-        """When there will be so much."""
+        """The time at which `amount` tokens will be available."""
         return now + max(0.0, amount - self.available(now)) / self.per_s
