--- a/tests/faulty_member.py
+++ b/tests/faulty_member.py
@@ -1,4 +1,4 @@
-"""A member on a disk that fails as a file says: `faulty_member.py FAULTS SETTINGS [--bootstrap]`."""
+"""Runs a member with file faults from a file: `faulty_member.py FAULTS SETTINGS [--bootstrap]`."""
 
 import sys
 from pathlib import Path
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -1,8 +1,8 @@
-"""A member's process: sockets, folder and threads around the cores of agreement and serving.
+"""The process of a control-plane member: sockets, folder and threads around the agreement and the followers.
 
-Peers' membership and the writer's lease share a datagram socket, as in `mesh`; members agree by links over
-TCP at the same port; followers ask at a datagram socket of their own, operators at a control socket. One lock
-is held around the cores, whoever calls them; the membership's is its own and is taken second, if at all.
+The membership and the writer's lease share a datagram socket, as in `mesh`. Members exchange frames over TCP
+at the same port, followers send to another datagram socket, and operators to a control socket. One lock
+guards the agreement and the followers. The membership has its own, which is taken second where both are held.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from willownotch.cli import EXIT_FAULTY, THREAD_STACK_BYTES, Threads, load_blocks
 from willownotch.controlplane import agreement, entries, operators, wire
 from willownotch.controlplane.commit import AgreementCore, AgreementTiming, Result, Stage
-from willownotch.controlplane.commit import Send as ToMember
+from willownotch.controlplane.commit import Send as MemberSend
 from willownotch.controlplane.document import Change, Document, DocumentError
 from willownotch.controlplane.serving import FollowerService
 from willownotch.controlplane.settings import MemberSettings
@@ -42,7 +42,7 @@
 from willownotch.net.clock import Clock
 from willownotch.net.log import Log
 from willownotch.peers.core import Membership
-from willownotch.peers.core import Send as ToFollower
+from willownotch.peers.core import Send as FollowerSend
 from willownotch.peers.keys import load_keys
 from willownotch.peers.node import Node
 from willownotch.peers.seal import Seal
@@ -50,24 +50,24 @@
 from willownotch.peers.wire import Address
 
 LINK_VERSION = 34  # of frames between members
-STEP_S = 0.05  # between two looks at the lease
-ADDRESSES_S = 0.2  # between two looks at where the other members are
-LOOK_S = 1.0  # between two looks at all else, and two tellings of counts
-APART_S = 3.0  # without a word of so many voters that no majority is left
-RECEIVED_MOST = 64  # datagrams that are taken before others have the lock
-LAST_S = 1.0  # for changes under way where the process ends
-RECEIVE_BYTES = 1 << 20  # of datagrams that may wait in the socket
+LEASE_CHECK_S = 0.05  # between checks of the lease
+ADDRESSES_S = 0.2  # between updates of the other members' addresses
+CHECK_S = 1.0  # between all other checks, and between messages with counts
+ISOLATED_AFTER_S = 3.0  # of silence of so many voters that those heard are no majority
+MAX_RECEIVE_BATCH = 64  # datagrams handled before the lock is released
+STOP_GRACE_S = 1.0  # for changes in progress when the process stops
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket for followers
 
 Say = Callable[[str, str], None]
 
 
 class MemberError(ValueError):
-    """The settings do not make a member; the text says why."""
+    """The settings are not valid for a member; the text says why."""
 
 
-class Said(msgspec.Struct, frozen=True, array_like=True):
-    """A frame between members. `voters`: the digest of whom the source takes for the voters; members with
-    other ones than these have another majority, and are not listened to."""
+class MemberFrame(msgspec.Struct, frozen=True, array_like=True):
+    """A frame between members. `voters`: the digest of the source's voters. Frames of a member with other
+    voters are ignored, since its majorities are different ones."""
 
     source: str
     voters: bytes
@@ -77,27 +77,30 @@
 _encode = msgspec.msgpack.Encoder().encode
 _record = msgspec.msgpack.Decoder(agreement.Record).decode
 LINKS = LinkKind(
-    "member", LINK_VERSION, msgspec.msgpack.Decoder(Said).decode, lambda message: len(_encode(message)) + 64
+    "member",
+    LINK_VERSION,
+    msgspec.msgpack.Decoder(MemberFrame).decode,
+    lambda message: len(_encode(message)) + 64,
 )
 
 
-class Waiter:
-    """Somebody who waits for what becomes of a change."""
+class ChangeWaiter:
+    """A thread that waits for the outcome of a change."""
 
     def __init__(self) -> None:
         self.done, self.result = threading.Event(), None
 
 
-def digest_of(voters: tuple[str, ...]) -> bytes:
-    """Of the voters' names, in whatever order."""
+def digest_of_voters(voters: tuple[str, ...]) -> bytes:
+    """The digest of the voters' names, in any order."""
     return blake3(" ".join(sorted(voters)).encode()).digest(length=8)
 
 
-def bind_followers(address: Address) -> socket.socket:
-    """The socket that followers ask at."""
+def bind_follower_socket(address: Address) -> socket.socket:
+    """Opens the datagram socket for followers."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind(address)
     except OSError as fault:
         sock.close()
@@ -105,26 +108,25 @@
     return sock
 
 
-def duty_of(voters: tuple[str, ...]) -> str:
-    """The lease whose holder writes: members with other voters ask for another one."""
-    return f"config-{digest_of(voters).hex()[:8]}"
+def writer_duty(voters: tuple[str, ...]) -> str:
+    """The name of the lease whose holder is the writer; it differs between different sets of voters."""
+    return f"config-{digest_of_voters(voters).hex()[:8]}"
 
 
 def lease_settings(settings: MemberSettings) -> LeaseSettings:
-    """The lease that makes one member the writer."""
+    """The settings of the lease that makes one member the writer."""
     return LeaseSettings(
-        electors=settings.voters, span=settings.lease, duty={duty_of(settings.voters): DutySettings()}
+        electors=settings.voters, span=settings.lease, duty={writer_duty(settings.voters): DutySettings()}
     )
 
 
 def read_reference(settings: MemberSettings) -> bytes | None:
-    """A sender's configuration that changes are tried on; `OSError`."""
+    """The reference configuration that changes are checked against, or None. Raises `OSError`."""
     return None if settings.reference is None else Path(settings.reference).read_bytes()
 
 
 class Member:
-    """All of one member. What cannot be opened is `MemberError`, `StoreError`, `SettingsError`, `KeysError`
-    or `OSError`."""
+    """A member; raises `MemberError`, `StoreError`, `SettingsError`, `KeysError` or `OSError`."""
 
     def __init__(self, blocks: Blocks, bootstrap: bool, files: Files, say: Say) -> None:
         settings = blocks.member
@@ -138,7 +140,7 @@
         self.blocks, self.say, self.name = blocks, say, blocks.peers.name
         keys, self.reference = load_keys(blocks.peers.keys), read_reference(settings)
         folder, uid, now = Path(settings.folder), secrets.randbits(UID_BITS), time.monotonic()
-        self.voters, self._duty = digest_of(settings.voters), duty_of(settings.voters)
+        self.voters, self._duty = digest_of_voters(settings.voters), writer_duty(settings.voters)
         self.store = Store(folder, files, f"member {self.name} of {', '.join(sorted(settings.voters))}")
         self.document = Document(settings.history)
         records = self._load(folder)
@@ -151,43 +153,47 @@
                 uid,
                 settings.voters,
                 self.document,
-                self._keep,
+                self._append_records,
                 now,
                 random,
                 AgreementTiming(),
-                self._check,
+                self._check_change,
                 records,
                 bootstrap,
             )
         except DocumentError as fault:
-            raise StoreError(f"{folder}: its records make no document ({fault}); {START_OVER_HINT}") from None
+            raise StoreError(f"{folder}: its records are inconsistent ({fault}); {START_OVER_HINT}") from None
         self.serving = FollowerService(self.name, self.document, settings, now, Random(secrets.randbits(64)))
-        self._live = self.store.size
-        self.sock = bind_followers(settings.followers)
+        self._compacted_bytes = self.store.size
+        self.sock = bind_follower_socket(settings.followers)
         self.seal = Seal(uid, keys, wire.decode, wire.VERSION, wire.MAX_DATAGRAM_BYTES)
         self._open_peers(uid, keys, folder, files, now)
         self.channel = (
             None
             if blocks.control.socket is None
             else Server(
-                blocks.control.socket, operators.QUESTION_MOST, lambda name, work: self._start(name, work)
+                blocks.control.socket, operators.MAX_REQUEST_BYTES, lambda name, work: self._start(name, work)
             )
         )
         self.traffic: Counter[str] = Counter()
-        self._waiting: dict[bytes, list[Waiter]] = {}
-        # Outcomes by revisions that this member has not got yet: who was told and looks here would find an
-        # older one, and its next change would lose to its own.
-        self._ahead: list[Result] = []
-        self._began, self._heard = now, {}  # when each other voter was heard last
-        self._installed, self._writing, self._apart = self.commits.snapshots_installed, False, False
-        self._look_at = self._addresses_at = now
-        self._ending, self._refused = False, Counter()
-        self._nacks: dict[str, int] = {}
+        self._waiting: dict[bytes, list[ChangeWaiter]] = {}
+        # Outcomes with revisions that this member does not have yet. An author that was told earlier would
+        # base its next change on an older revision here, and that change would lose to its own.
+        self._outcomes_ahead: list[Result] = []
+        self._started_at, self._heard = now, {}  # by other voter: when it was last heard
+        self._snapshots_installed, self._writing, self._isolated = (
+            self.commits.snapshots_installed,
+            False,
+            False,
+        )
+        self._check_at = self._addresses_at = now
+        self._stopping, self._refused = False, Counter()
+        self._logged_nacks: dict[str, int] = {}
 
     def _load(self, folder: Path) -> list[agreement.Record]:
         found = self.store.load()
         if self.store.torn_bytes:
-            self.say("folder", f"{self.store.cut} bytes of a torn write were cut off")
+            self.say("folder", f"{self.store.torn_bytes} bytes of a torn write were cut off")
         try:
             return [_record(payload) for payload in found]
         except msgspec.DecodeError as fault:
@@ -235,27 +241,27 @@
 
     # The folder
 
-    def _keep(self, records: list[agreement.Record]) -> bool:
+    def _append_records(self, records: list[agreement.Record]) -> bool:
         try:
             self.store.append([_encode(record) for record in records])
         except OSError as fault:
-            self.say("folder", f"what was agreed on could not be kept: {fault}")
+            self.say("folder", f"records could not be written: {fault}")
             return False
         return True
 
-    def _rewrite(self) -> None:
-        if not self.store.worth_rewriting(self._live):
+    def _compact_if_needed(self) -> None:
+        if not self.store.worth_rewriting(self._compacted_bytes):
             return
         try:
             self.store.rewrite(map(_encode, self.commits.records()))
         except OSError as fault:
-            self.say("folder", f"the folder could not be written anew: {fault}")
-            self._live = self.store.size // 2  # it is tried again once it has grown as much
+            self.say("folder", f"the records could not be compacted: {fault}")
+            self._compacted_bytes = self.store.size // 2  # retries once the file has grown by as much
             return
-        self._live = self.store.size
+        self._compacted_bytes = self.store.size
         self.commits.on_rewritten()
 
-    def _check(self, document: Document, change: Change) -> None:
+    def _check_change(self, document: Document, change: Change) -> None:
         entries.check(document, change, self.reference)
 
     # Threads
@@ -275,16 +281,16 @@
         if self.channel is not None:
             self.channel.handlers.update(
                 {
-                    "status": lambda about: self.status(),
-                    "change": self._asked,
-                    "entries": lambda about: self._with_lock(
-                        lambda: operators.entries_of(self.document, about)
+                    "status": lambda parameters: self.status(),
+                    "change": self._submit_change,
+                    "entries": lambda parameters: self._with_lock(
+                        lambda: operators.entries_of(self.document, parameters)
                     ),
-                    "history": lambda about: self._with_lock(
-                        lambda: operators.history_of(self.document, about)
+                    "history": lambda parameters: self._with_lock(
+                        lambda: operators.history_of(self.document, parameters)
                     ),
-                    "peers": lambda about: self.transport.view(),
-                    "leases": lambda about: self.leases.view(),
+                    "peers": lambda parameters: self.transport.view(),
+                    "leases": lambda parameters: self.leases.view(),
                 }
             )
             start("control", self.channel.run, False)
@@ -294,33 +300,33 @@
             return look()
 
     def run(self) -> None:
-        """Look at the lease and let time pass, until the process ends."""
+        """Checks the lease and does what is due, until the process stops."""
         with self.woken:
-            while not self._ending:
-                due = min(self.commits.due(), self.serving.due() or self._look_at, self._look_at)
-                self.woken.wait(max(0.0, min(STEP_S, due - time.monotonic())))
-                self._round(time.monotonic())
+            while not self._stopping:
+                due = min(self.commits.due(), self.serving.due() or self._check_at, self._check_at)
+                self.woken.wait(max(0.0, min(LEASE_CHECK_S, due - time.monotonic())))
+                self._step(time.monotonic())
 
-    def _round(self, now: float) -> None:
-        self._send(self.commits.lead(now, self._token(now)))
+    def _step(self, now: float) -> None:
+        self._send_to_members(self.commits.lead(now, self._token(now)))
         if self.commits.due() <= now:
-            self._send(self.commits.tick(now))
-        self._settle(now)
+            self._send_to_members(self.commits.tick(now))
+        self._apply_results(now)
         if (due := self.serving.due()) is not None and due <= now:
-            self._serve(self.serving.tick(now))
+            self._send_to_followers(self.serving.tick(now))
         if self._addresses_at <= now:
             self._addresses_at = now + ADDRESSES_S
-            self._look_where()
-        if self._look_at <= now:
-            self._look_at = now + LOOK_S
-            self._look(now)
+            self._update_addresses()
+        if self._check_at <= now:
+            self._check_at = now + CHECK_S
+            self._check_periodically(now)
 
     def _token(self, now: float) -> int | None:
         with self.transport.lock:
-            return None if self._ending else self.leases.layer.token(self._duty, now)
+            return None if self._stopping else self.leases.layer.token(self._duty, now)
 
-    def _settle(self, now: float) -> None:
-        """Take what the agreement has led to."""
+    def _apply_results(self, now: float) -> None:
+        """Logs the commits of the agreement, tells the followers, and hands outcomes to waiting threads."""
         commits = self.commits
         moved = False
         for commit in commits.committed:
@@ -331,21 +337,21 @@
                 f"revision {commit.revision} of {change.author}, {len(change.sets)} set and "
                 f"{len(change.removes)} removed, change {change.id.hex()}",
             )
-        if commits.snapshots_installed != self._installed:
-            self._installed, moved = commits.snapshots_installed, True
-            self.say("commit", f"revision {self.document.revision} was taken over whole")
+        if commits.snapshots_installed != self._snapshots_installed:
+            self._snapshots_installed, moved = commits.snapshots_installed, True
+            self.say("commit", f"a snapshot of revision {self.document.revision} was installed")
         if moved:
             last = commits.committed[-1] if commits.committed else None
             commits.committed.clear()
-            self._serve(self.serving.committed(now, last))
+            self._send_to_followers(self.serving.committed(now, last))
             self.woken.notify()
-        results, self._ahead = [*self._ahead, *commits.results], []
+        results, self._outcomes_ahead = [*self._outcomes_ahead, *commits.results], []
         commits.results.clear()
         for result in results:
             for waiter in self._waiting.get(result.id, ()):
                 waiter.result = result
             if result.revision > self.document.revision:
-                self._ahead.append(result)
+                self._outcomes_ahead.append(result)
                 continue
             for waiter in self._waiting.pop(result.id, ()):
                 waiter.done.set()
@@ -357,36 +363,38 @@
             self._writing = writing
             self.say(
                 "agreement",
-                f"writes from revision {self.document.revision} on, under token "
+                f"this member is the writer from revision {self.document.revision} on, under token "
                 f"{commits.writer.ballot.token}"
                 if writing
-                else "writes no more",
+                else "this member is no longer the writer",
             )
 
     # Members
 
-    def _take_frame(self, said: msgspec.Struct) -> None:
+    def _take_frame(self, frame: msgspec.Struct) -> None:
         now = time.monotonic()
         with self.lock:
-            if self._ending:
+            if self._stopping:
                 return
-            if said.source not in self.blocks.member.voters or said.source == self.name:
+            if frame.source not in self.blocks.member.voters or frame.source == self.name:
                 self.traffic["frames of no voter"] += 1
                 return
-            if said.voters != self.voters:
+            if frame.voters != self.voters:
                 self.traffic["frames of other voters"] += 1
-                self.say("voters", f"{said.source} has other 'voters' than this member: not listened to")
+                self.say(
+                    "voters", f"{frame.source} has other 'voters' than this member: its frames are ignored"
+                )
                 return
-            self._heard[said.source] = now
-            if isinstance(said.message, wire.FollowerCounts):
-                self.serving.heard(now, said.source, said.message)
+            self._heard[frame.source] = now
+            if isinstance(frame.message, wire.FollowerCounts):
+                self.serving.heard(now, frame.source, frame.message)
             else:
-                self._send(self.commits.receive(now, said.source, said.message))
-                self._settle(now)
+                self._send_to_members(self.commits.receive(now, frame.source, frame.message))
+                self._apply_results(now)
 
-    def _send(self, sends: list[ToMember]) -> None:
+    def _send_to_members(self, sends: list[MemberSend]) -> None:
         for send in sends:
-            self.links.send(send.name, Said(self.name, self.voters, send.message))
+            self.links.send(send.name, MemberFrame(self.name, self.voters, send.message))
 
     # Followers
 
@@ -394,12 +402,12 @@
         while True:
             try:
                 found = [self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES)]
-            except OSError:  # an earlier datagram found nobody
+            except OSError:  # an earlier datagram was refused at its address
                 self.traffic["follower receive failed"] += 1
                 continue
             self.sock.setblocking(False)
             try:
-                while len(found) < RECEIVED_MOST:
+                while len(found) < MAX_RECEIVE_BATCH:
                     found.append(self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES))
             except OSError:
                 pass
@@ -413,9 +421,9 @@
         self.traffic["follower received bytes"] += len(data)
         message = self.seal.open(data)
         if message is not None:
-            self._serve(self.serving.receive(time.monotonic(), address, message))
+            self._send_to_followers(self.serving.receive(time.monotonic(), address, message))
 
-    def _serve(self, sends: list[ToFollower]) -> None:
+    def _send_to_followers(self, sends: list[FollowerSend]) -> None:
         for send in sends:
             try:
                 data = self.seal.close(send.message)
@@ -426,45 +434,50 @@
             self.traffic["follower sent"] += 1
             self.traffic["follower sent bytes"] += len(data)
 
-    # Each second
+    # Periodic checks
 
-    def _look_where(self) -> None:
-        """Also those that are taken for dead: the agreement does not wait for who was wrong about them."""
+    def _update_addresses(self) -> None:
+        """Updates the voters' addresses, also of those that the membership takes for dead: the agreement does
+        not depend on its judgement."""
         with self.transport.lock:
             members = self.transport.node.membership.members.values()
             self.links.addresses = {m.name: m.address for m in members if m.name in self.blocks.member.voters}
 
-    def _look(self, now: float) -> None:
-        counts = Said(self.name, self.voters, self.serving.counts(now))
+    def _check_periodically(self, now: float) -> None:
+        counts = MemberFrame(self.name, self.voters, self.serving.counts(now))
         for name in self.blocks.member.voters:
             if name != self.name:
                 self.links.send(name, counts)
-        self._look_apart(now)
-        self._look_refused()
-        self._look_nacks(counts.message)
-        self._rewrite()
-
-    def _look_apart(self, now: float) -> None:
-        """Whether a majority was heard lately; since when not."""
-        others = agreement.majority(len(self.blocks.member.voters)) - 1
+        self._check_isolated(now)
+        self._log_refused()
+        self._log_nacks(counts.message)
+        self._compact_if_needed()
+
+    def _check_isolated(self, now: float) -> None:
+        """Updates whether a majority is heard, and since when it is not."""
+        others_needed = agreement.majority(len(self.blocks.member.voters)) - 1
         heard = sorted(
-            (self._heard.get(name, self._began) for name in self.blocks.member.voters if name != self.name),
+            (
+                self._heard.get(name, self._started_at)
+                for name in self.blocks.member.voters
+                if name != self.name
+            ),
             reverse=True,
         )
-        since = heard[others - 1] if others else now
-        apart = now - since > APART_S
-        if apart != self._apart:
-            self._apart = apart
+        since = heard[others_needed - 1] if others_needed else now
+        isolated = now - since > ISOLATED_AFTER_S
+        if isolated != self._isolated:
+            self._isolated = isolated
             self.say(
                 "apart",
                 f"no majority of the voters has been heard for {now - since:.0f} s: revision "
-                f"{self.document.revision} stays, no change is taken"
-                if apart
+                f"{self.document.revision} stays, no change is accepted"
+                if isolated
                 else f"a majority of the voters is heard again, revision {self.document.revision}",
             )
-        self.serving.isolated_since = since if apart else None
+        self.serving.isolated_since = since if isolated else None
 
-    def _look_refused(self) -> None:
+    def _log_refused(self) -> None:
         found: Counter[str] = Counter()
         for what, refused in (
             ("datagrams for followers", self.seal.refused),
@@ -479,29 +492,31 @@
             self.say("refused", ", ".join(f"{count} {what}" for what, count in sorted(grown.items())))
         self._refused = found
 
-    def _look_nacks(self, counts: wire.FollowerCounts) -> None:
+    def _log_nacks(self, counts: wire.FollowerCounts) -> None:
         for nack in counts.nacks:
-            if self._nacks.get(nack.name) != nack.revision:
+            if self._logged_nacks.get(nack.name) != nack.revision:
                 self.say("nack", f"{nack.name} could not apply revision {nack.revision}: {nack.text}")
-        self._nacks = {nack.name: nack.revision for nack in counts.nacks}
+        self._logged_nacks = {nack.name: nack.revision for nack in counts.nacks}
 
     # Operators
 
-    def _asked(self, about: dict[str, str]) -> operators.Told:
-        change, waiter = operators.read_change(about), Waiter()
+    def _submit_change(self, parameters: dict[str, str]) -> operators.ChangeReply:
+        change, waiter = operators.read_change(parameters), ChangeWaiter()
         now = time.monotonic()
         with self.lock:
-            if self._ending:
-                raise BadRequestError("this member ends, ask another")
+            if self._stopping:
+                raise BadRequestError("this member is stopping; ask another one")
             self._waiting.setdefault(change.id, []).append(waiter)
-            self._send(self.commits.submit(now, change))
-            self._settle(now)
-        # The agreement gives an outcome in any case, be it that it is not known.
+            self._send_to_members(self.commits.submit(now, change))
+            self._apply_results(now)
+        # The agreement always reports an outcome, which may be that it is not known.
         waiter.done.wait(2 * self.commits.pace.patience)
-        return operators.told(waiter.result or Result(change.id, agreement.Outcome.UNKNOWN, 0, "no outcome"))
+        return operators.reply_of(
+            waiter.result or Result(change.id, agreement.Outcome.UNKNOWN, 0, "no outcome")
+        )
 
     def status(self) -> operators.MemberStatus:
-        """For who asks."""
+        """The status for operators."""
         with self.lock:
             now = time.monotonic()
             since = self.serving.isolated_since
@@ -527,9 +542,9 @@
     # Signals
 
     def reload(self, blocks: Blocks) -> str:
-        """Take other settings, keys among them; which of them hold only from the next start.
+        """Applies changed settings and keys; returns the names of those that take effect at the next start.
 
-        `ValueError` or `OSError`, and nothing changed, if they are not sound.
+        Raises `ValueError` or `OSError`, and changes nothing, if they are not valid.
         """
         old, settings = self.blocks, blocks.member
         if not settings.enabled() or blocks.peers.keys is None:
@@ -546,7 +561,7 @@
             if getattr(old.peers, word) != getattr(blocks.peers, word)
         ]
         later += ["control socket"] * (old.control != blocks.control)
-        # A member's part in the agreement stays what it was until the next start.
+        # The settings of the agreement stay as they were until the next start.
         settings = msgspec.structs.replace(
             settings,
             voters=old.member.voters,
@@ -569,17 +584,17 @@
         return ", ".join(later)
 
     def stop(self) -> None:
-        """End in good order: changes under way get their outcome, the lease is handed on, the others hear
-        that this member goes."""
-        ends = time.monotonic() + LAST_S
+        """Stops gracefully: gives changes in progress time for their outcome, hands the lease on, and tells
+        the other members that this one leaves."""
+        ends = time.monotonic() + STOP_GRACE_S
         while time.monotonic() < ends:
             with self.lock:
                 waiters = [waiter for line in self._waiting.values() for waiter in line]
             if not waiters or not waiters[0].done.wait(ends - time.monotonic()):
                 break
         with self.woken:
-            self._ending = True
-            self._send(self.commits.lead(time.monotonic(), None))
+            self._stopping = True
+            self._send_to_members(self.commits.lead(time.monotonic(), None))
             self.woken.notify()
         self.transport.send_last(self.leases.layer.leave)
         self.transport.stop()
@@ -590,9 +605,10 @@
 
 
 def main(path: str | None, bootstrap: bool, files: Files = REAL) -> int:
-    """Run a member until it is told to stop; the exit code."""
+    """Runs a member until a signal stops it; returns the exit code."""
     ends, reloads = {signal.SIGTERM, signal.SIGINT}, {signal.SIGHUP}
-    signal.pthread_sigmask(signal.SIG_BLOCK, ends | reloads)  # before any thread: this one takes them
+    # Blocked before any other thread starts, so that only this thread receives these signals.
+    signal.pthread_sigmask(signal.SIG_BLOCK, ends | reloads)
     threading.stack_size(THREAD_STACK_BYTES)
     memory.configure_malloc()
     clock = Clock()
@@ -618,6 +634,6 @@
                 + f"; {later} as changed will hold from the next start" * bool(later),
             )
     member.stop()
-    log.say("end", "ended; what was agreed on stands in the folder")
+    log.say("end", "ended; the committed changes are in the folder")
     sys.stderr.flush()
     os._exit(0)
--- a/willownotch/controlplane/operators.py
+++ b/willownotch/controlplane/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask a member by its control socket, and what it answers. No sockets, no threads.
+"""The requests that operators send to a member's control socket, and its replies. No sockets, no threads.
 
 Values of entries travel as plain JSON; a member keeps each as the one text that `entries.encode` makes of it.
 """
@@ -15,13 +15,13 @@
 from willownotch.controlplane.entries import encode
 from willownotch.controlplane.serving import StatusView
 
-ID = 16  # bytes of a change's id
-HISTORY_SHOWN = 20  # commits, where it is not said how many
-QUESTION_MOST = 4 << 20  # bytes: a change, and what JSON adds to it
+CHANGE_ID_BYTES = 16
+DEFAULT_HISTORY_COMMITS = 20  # in a reply, where the request does not say how many
+MAX_REQUEST_BYTES = 4 << 20  # a change, and what JSON adds to it
 
 
-class Asked(msgspec.Struct, forbid_unknown_fields=True):
-    """A change as an operator asks for it."""
+class ChangeRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A change as an operator submits it."""
 
     id: str  # hexadecimal
     author: str
@@ -30,8 +30,8 @@
     removes: tuple[str, ...] = ()
 
 
-class Told(msgspec.Struct):
-    """What became of a change. `revision`: its own, or that of what it lost to."""
+class ChangeReply(msgspec.Struct):
+    """The outcome of a change. `revision`: the one that the change made, or the one that it lost to."""
 
     id: str
     outcome: str
@@ -40,7 +40,7 @@
 
 
 class EntriesView(msgspec.Struct):
-    """The entries of a revision, or some of them."""
+    """All or some of the entries of a revision."""
 
     revision: int
     token: int
@@ -60,8 +60,7 @@
 
 
 class HistoryView(msgspec.Struct):
-    """The last commits, the latest first; `oldest` is the oldest revision that can be shown or gone back
-    to."""
+    """The last commits, latest first; `oldest` is the oldest revision that can be shown or rolled back to."""
 
     revision: int
     oldest: int
@@ -69,8 +68,8 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """How a member and its followers are. `apart_s`: for how long it has heard no majority, or None; `heard`:
-    how long ago each other voter was, None where it never was."""
+    """The status of a member and its followers. `apart_s`: for how long it has heard no majority (s), or
+    None; `heard`: how long ago each other voter was heard (s), None if never."""
 
     name: str
     writing: bool
@@ -82,67 +81,67 @@
     traffic: dict[str, int]
 
 
-def number(about: dict[str, str], word: str, default: int) -> int:
-    """A whole number of a question; `BadQuestionError` if it is none."""
-    text = about.get(word)
+def parse_number(parameters: dict[str, str], name: str, default: int) -> int:
+    """A request parameter as a whole number. Raises `BadRequestError` if it is not one."""
+    text = parameters.get(name)
     if text is None:
         return default
     if not text.isdecimal() or len(text) > 18:
-        raise BadRequestError(f"{word} {text!r} is no whole number")
+        raise BadRequestError(f"{name} {text!r} is not a whole number")
     return int(text)
 
 
-def read_change(about: dict[str, str]) -> Change:
-    """The change of a question; `BadQuestionError` if there is none."""
+def read_change(parameters: dict[str, str]) -> Change:
+    """The change in a request's parameters. Raises `BadRequestError` if it is missing or malformed."""
     try:
-        asked = msgspec.json.decode(about.get("change", ""), type=Asked)
-        change_id = bytes.fromhex(asked.id)
-        if len(change_id) != ID:
-            raise ValueError(f"an id has {2 * ID} hexadecimal digits, not {asked.id!r}")
-        sets = {key: encode(value) for key, value in asked.sets.items()}
-    except (ValueError, OverflowError) as fault:  # msgspec's own are ValueErrors
-        raise BadRequestError(f"no change: {fault}") from None
-    return Change(change_id, asked.author, asked.base, sets, asked.removes)
+        request = msgspec.json.decode(parameters.get("change", ""), type=ChangeRequest)
+        change_id = bytes.fromhex(request.id)
+        if len(change_id) != CHANGE_ID_BYTES:
+            raise ValueError(f"an id has {2 * CHANGE_ID_BYTES} hexadecimal digits, not {request.id!r}")
+        sets = {key: encode(value) for key, value in request.sets.items()}
+    except (ValueError, OverflowError) as error:  # msgspec's errors are ValueErrors
+        raise BadRequestError(f"no change: {error}") from None
+    return Change(change_id, request.author, request.base, sets, request.removes)
 
 
-def told(result: Result) -> Told:
-    """An outcome for who asked."""
-    return Told(result.id.hex(), result.outcome.value, result.revision, result.text)
+def reply_of(result: Result) -> ChangeReply:
+    """A result as a reply to the operator."""
+    return ChangeReply(result.id.hex(), result.outcome.value, result.revision, result.text)
 
 
-def entries_of(document: Document, about: dict[str, str]) -> EntriesView:
-    """All entries, or `key`'s, of the last or an earlier revision; `BadQuestionError` where it is not
-    remembered."""
-    revision = number(about, "revision", document.revision)
+def entries_of(document: Document, parameters: dict[str, str]) -> EntriesView:
+    """All entries, or the entry `key`, of the last or of an earlier revision. Raises `BadRequestError` if the
+    history does not reach back to that revision."""
+    revision = parse_number(parameters, "revision", document.revision)
     try:
         sets, removes = document.edits_to_restore(revision)
-    except DocumentError as fault:
-        raise BadRequestError(str(fault)) from None
-    if (key := about.get("key")) is not None:
+    except DocumentError as error:
+        raise BadRequestError(str(error)) from None
+    if (key := parameters.get("key")) is not None:
         value = sets.get(key, None if key in removes else document.get(key))
         entries = {} if value is None else {key: value}
     else:
         entries = dict(document.items()) | sets
-        for gone in removes:
-            del entries[gone]
-    last = revision == document.revision
+        for removed in removes:
+            del entries[removed]
+    is_last = revision == document.revision
     token = (
         document.token
-        if last
+        if is_last
         else next((past.commit.token for past in document.history if past.commit.revision == revision), 0)
     )
     digest = (
         document.digest
-        if last
+        if is_last
         else next((past.commit.digest for past in document.history if past.commit.revision == revision), b"")
     )
     return EntriesView(revision, token, digest.hex(), {k: msgspec.Raw(v) for k, v in entries.items()})
 
 
-def history_of(document: Document, about: dict[str, str]) -> HistoryView:
-    """The `last` so many commits."""
-    most = number(about, "last", HISTORY_SHOWN)
-    commits = document.commits(max(document.oldest(), document.revision - most)) or []
+def history_of(document: Document, parameters: dict[str, str]) -> HistoryView:
+    """The last commits, as many as the parameter `last` says."""
+    limit = parse_number(parameters, "last", DEFAULT_HISTORY_COMMITS)
+    commits = document.commits(max(document.oldest(), document.revision - limit)) or []
     return HistoryView(
         document.revision,
         document.oldest(),
