--- a/willownotch/controlplane/operator_client.py
+++ b/willownotch/controlplane/operator_client.py
@@ -1,4 +1,4 @@
-"""The operators' side of a member's control socket: what to ask for, what is told, and exit codes."""
+"""The client side of a member's control socket: requests, the text of outcomes, and exit codes."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from willownotch.channel.client import AnswerError, AskError, ask
 from willownotch.controlplane.entries import encode
 
-PATIENCE = 30.0  # s for an outcome; a member gives one within 20
-EXIT_DONE, EXIT_REFUSED, EXIT_UNKNOWN = 0, 1, 3  # exit codes
+REPLY_TIMEOUT_S = 30.0  # a member reports the outcome of a change within 20 s
+EXIT_DONE, EXIT_REFUSED, EXIT_UNKNOWN = 0, 1, 3
 EXIT_CODES = {"committed": EXIT_DONE, "lost": EXIT_REFUSED, "refused": EXIT_REFUSED}
 
 
 @dataclass(frozen=True)
 class ProposedChange:
-    """A change as of a revision."""
+    """A change that is based on a revision."""
 
     base: int
     sets: dict[str, bytes]
     removes: tuple[str, ...]
 
     def __bool__(self) -> bool:
-        """Whether it changes anything."""
+        """Whether it sets or removes anything."""
         return bool(self.sets or self.removes)
 
 
 def author() -> str:
-    """Who asks, for the history."""
+    """The user's name, or number, as the author in the history."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -41,36 +41,37 @@
 
 
 def fetch_entries(path: str, revision: int | None = None, key: str | None = None) -> dict[str, Any]:
-    """A revision's entries, the last one's without a number, or one of them; `AskError`."""
-    about = {} if revision is None else {"revision": str(revision)}
-    return ask(path, "entries", about if key is None else about | {"key": key}, PATIENCE)
+    """A member's reply with all entries, or the entry `key`, of a revision (the last if None). Raises
+    `AskError`."""
+    parameters = {} if revision is None else {"revision": str(revision)}
+    return ask(path, "entries", parameters if key is None else parameters | {"key": key}, REPLY_TIMEOUT_S)
 
 
-def encoded_entries(found: Mapping[str, Any]) -> dict[str, bytes]:
-    """Entries of an answer as members keep them."""
-    return {key: encode(value) for key, value in found["entries"].items()}
+def encoded_entries(reply: Mapping[str, Any]) -> dict[str, bytes]:
+    """The entries of a reply, encoded as members store them."""
+    return {key: encode(value) for key, value in reply["entries"].items()}
 
 
 def changes_toward(
-    found: Mapping[str, Any], wanted: Mapping[str, bytes], merge: bool = False
+    reply: Mapping[str, Any], wanted: Mapping[str, bytes], merge: bool = False
 ) -> ProposedChange:
-    """What makes the entries of an answer those that are wanted; with `merge` others stay."""
-    now = encoded_entries(found)
+    """The change that turns the entries of a reply into the wanted ones; with `merge` it removes nothing."""
+    current = encoded_entries(reply)
     return ProposedChange(
-        found["revision"],
-        {key: value for key, value in wanted.items() if now.get(key) != value},
-        () if merge else tuple(sorted(now.keys() - wanted.keys())),
+        reply["revision"],
+        {key: value for key, value in wanted.items() if current.get(key) != value},
+        () if merge else tuple(sorted(current.keys() - wanted.keys())),
     )
 
 
 def new_change_id() -> str:
-    """Of a change."""
+    """A random id, in hexadecimal."""
     return secrets.token_hex(16)
 
 
 def submit(path: str, change_id: str, wanted: ProposedChange) -> dict[str, Any]:
-    """Ask for a change; what was told of it. `AnswerError` where it was not taken for one, nothing was done
-    then; any other trouble is the outcome `unknown`."""
+    """Submits a change and returns the member's reply. Raises `AnswerError` if the member rejects the
+    request, in which case nothing was done; any other error is the outcome `unknown`."""
     text = msgspec.json.encode(
         {
             "id": change_id,
@@ -81,25 +82,25 @@
         }
     ).decode()
     try:
-        return ask(path, "change", {"change": text}, PATIENCE)
+        return ask(path, "change", {"change": text}, REPLY_TIMEOUT_S)
     except AnswerError:
         raise
-    except AskError as fault:
-        return {"id": change_id, "outcome": "unknown", "revision": 0, "text": str(fault)}
+    except AskError as error:
+        return {"id": change_id, "outcome": "unknown", "revision": 0, "text": str(error)}
 
 
-def outcome(told: Mapping[str, Any], wanted: ProposedChange) -> str:
-    """In words."""
-    if told["outcome"] == "committed":
+def outcome(reply: Mapping[str, Any], wanted: ProposedChange) -> str:
+    """The outcome in a reply, as a sentence for the operator."""
+    if reply["outcome"] == "committed":
         return (
-            f"revision {told['revision']} is committed: {len(wanted.sets)} set, {len(wanted.removes)} "
-            f"removed, change {told['id']}"
+            f"revision {reply['revision']} is committed: {len(wanted.sets)} set, {len(wanted.removes)} "
+            f"removed, change {reply['id']}"
         )
-    if told["outcome"] == "lost":
-        return f"lost to revision {told['revision']}: {told['text']}"
-    if told["outcome"] == "refused":
-        return f"refused: {told['text']}"
+    if reply["outcome"] == "lost":
+        return f"lost to revision {reply['revision']}: {reply['text']}"
+    if reply["outcome"] == "refused":
+        return f"refused: {reply['text']}"
     return (
-        f"not known whether it was committed: {told['text']}; ask again by the same command with "
-        f"--id {told['id']} --expect {wanted.base}"
+        f"not known whether it was committed: {reply['text']}; ask again by the same command with "
+        f"--id {reply['id']} --expect {wanted.base}"
     )
