--- a/willownotch/controlplane/operator_tables.py
+++ b/willownotch/controlplane/operator_tables.py
@@ -1,4 +1,4 @@
-"""A member's answers as tables for people."""
+"""Formats a member's replies as tables for operators."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from willownotch.channel.tables import format_duration
 from willownotch.columns import table
 
-KEYS_SHOWN = 4  # of a commit
+MAX_KEYS_SHOWN = 4  # of a commit
 
 
-def status(found: dict[str, Any]) -> str:
-    """Who writes, who is heard, who has which revision in force."""
-    agreement, serving = found["agreement"], found["serving"]
+def status(reply: dict[str, Any]) -> str:
+    """The writer, the members that are heard, and the revisions in force at the followers."""
+    agreement, serving = reply["agreement"], reply["serving"]
     lines = [
-        f"{found['name']}: revision {serving['revision']} (token {serving['token']}, digest "
-        f"{serving['digest']}, {serving['entries']} entries), the writer is {found['writer'] or 'not known'}"
+        f"{reply['name']}: revision {serving['revision']} (token {serving['token']}, digest "
+        f"{serving['digest']}, {serving['entries']} entries), the writer is {reply['writer'] or 'not known'}"
         + " (this member)"
-        * found["writing"]
+        * reply["writing"]
     ]
     if not agreement["voting"]:
         lines.append(agreement["why"])
@@ -25,19 +25,19 @@
         lines.append("its folder cannot be written: no vote until it can")
     if agreement["behind"]:
         lines.append(f"lacks {agreement['behind']} revisions that others have")
-    if found["apart_s"] is not None:
+    if reply["apart_s"] is not None:
         lines.append(
-            f"no majority of the voters has been heard for {format_duration(found['apart_s'])}: no change is "
-            "taken here"
+            f"no majority of the voters has been heard for {format_duration(reply['apart_s'])}: no change is "
+            "accepted here"
         )
     counts = {member["name"]: member for member in serving["members"]}
     rows = [
-        [name, format_duration(heard), *_counted(counts.get(name))]
-        for name, heard in sorted({found["name"]: 0.0, **found["heard"]}.items())
+        [name, format_duration(heard), *_count_cells(counts.get(name))]
+        for name, heard in sorted({reply["name"]: 0.0, **reply["heard"]}.items())
     ]
     lines.append(table(["MEMBER", "HEARD", "REVISION", "FOLLOWERS", "UNHEARD", "APART"], rows))
-    force = [[str(revision), str(count)] for revision, count in serving["in_force"].items()]
-    lines.append(table(["IN FORCE", "SENDERS"], force) if force else "no sender is known")
+    in_force = [[str(revision), str(count)] for revision, count in serving["in_force"].items()]
+    lines.append(table(["IN FORCE", "SENDERS"], in_force) if in_force else "no sender is known")
     if serving["missing"]:
         lines.append(f"not counted, since their members are not heard: {', '.join(serving['missing'])}")
     late, unheard = (
@@ -45,22 +45,22 @@
         for part in ("laggards", "unheard_names")
     )
     nacks = [[m, f, str(r), text] for m, f, r, text in serving["nacks"]]
-    for what, count, heads, named in (
+    for what, count, headings, named_rows in (
         ("do not have the last one in force", serving["lagging"], ["IN FORCE", "FOR"], late),
         ("could not apply a revision", serving["nacked"], ["REFUSED", "WHY"], nacks),
         ("are unheard", serving["unheard"], ["IN FORCE", "FOR"], unheard),
     ):
         if count:
-            lines += [f"{count} senders {what}", table(["MEMBER", "SENDER", *heads], named)]
+            lines += [f"{count} senders {what}", table(["MEMBER", "SENDER", *headings], named_rows)]
     counted = [
         f"{count} {what}"
-        for part in (agreement["counts"], serving["counters"], found["traffic"])
+        for part in (agreement["counts"], serving["counters"], reply["traffic"])
         for what, count in part.items()
     ]
     return "\n".join([*lines, "counted: " + (", ".join(counted) or "nothing")])
 
 
-def _counted(member: dict[str, Any] | None) -> list[str]:
+def _count_cells(member: dict[str, Any] | None) -> list[str]:
     if member is None:
         return ["-", "-", "-", "-"]
     return [
@@ -71,18 +71,29 @@
     ]
 
 
-def history(found: dict[str, Any]) -> str:
-    """The last commits."""
+def history(reply: dict[str, Any]) -> str:
+    """The last commits, latest first."""
 
-    def keys(names: list[str]) -> str:
-        more = f" and {len(names) - KEYS_SHOWN} more" if len(names) > KEYS_SHOWN else ""
-        return ", ".join(names[:KEYS_SHOWN]) + more or "-"
+    def key_list(names: list[str]) -> str:
+        more = f" and {len(names) - MAX_KEYS_SHOWN} more" if len(names) > MAX_KEYS_SHOWN else ""
+        return ", ".join(names[:MAX_KEYS_SHOWN]) + more or "-"
 
     rows = [
-        [str(c["revision"]), str(c["token"]), c["author"], keys(c["sets"]), keys(c["removes"]), c["id"]]
-        for c in found["commits"]
+        [
+            str(c["revision"]),
+            str(c["token"]),
+            c["author"],
+            key_list(c["sets"]),
+            key_list(c["removes"]),
+            c["id"],
+        ]
+        for c in reply["commits"]
     ]
-    head = f"revision {found['revision']}; {found['oldest']} is the oldest that can be shown or gone back to"
+    heading = (
+        f"revision {reply['revision']}; {reply['oldest']} is the oldest that can be shown or rolled back to"
+    )
     return "\n".join(
-        [head, table(["REVISION", "TOKEN", "AUTHOR", "SET", "REMOVED", "CHANGE"], rows)] if rows else [head]
+        [heading, table(["REVISION", "TOKEN", "AUTHOR", "SET", "REMOVED", "CHANGE"], rows)]
+        if rows
+        else [heading]
     )
