--- a/willownotch/controlplane/settings.py
+++ b/willownotch/controlplane/settings.py
@@ -1,4 +1,4 @@
-"""The `member` and `follow` blocks of the settings file: a control plane's member, and who follows it."""
+"""The `member` and `follow` blocks of the settings file: a member of the control plane, and its followers."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
     TextType,
 )
 
-TENTH, MINUTE, HOUR = timedelta(milliseconds=100), timedelta(minutes=1), timedelta(hours=1)
+TENTH_SECOND, MINUTE, HOUR = timedelta(milliseconds=100), timedelta(minutes=1), timedelta(hours=1)
 FOLDER = TextType("the path of a folder of its own")
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
-    """One member: its folder, the voters, and what it allows its followers. Its name is that of `peers`."""
-
-    folder: Annotated[str, FOLDER] | None = None  # off where it is not set
-    voters: Annotated[tuple[str, ...], ListType(TextType("a member's name"))] = ()  # the same everywhere
-    followers: Annotated[tuple[str, int], AddressType()] | None = None  # where senders ask, by datagrams
-    reference: Annotated[str, TextType("the path of a sender's configuration")] | None = None  # that every
-    # change is tried on before it is accepted
-    lease: Annotated[timedelta, DurationType(2 * TENTH, MINUTE)] = timedelta(seconds=3)
-    history: Annotated[int, CountType(16, 100_000)] = 4096  # changes kept for differences and roll-back
+    """One member: its folder, the voters, and the limits for its followers. Its name is in `peers`."""
+
+    folder: Annotated[str, FOLDER] | None = None  # without it, no member runs
+    voters: Annotated[tuple[str, ...], ListType(TextType("a member's name"))] = ()  # the same at all members
+    followers: Annotated[tuple[str, int], AddressType()] | None = None  # UDP address for followers
+    reference: Annotated[str, TextType("the path of a sender's configuration")] | None = None
+    # every change is applied to the reference configuration, and refused if the result is not valid
+    lease: Annotated[timedelta, DurationType(2 * TENTH_SECOND, MINUTE)] = timedelta(seconds=3)
+    history: Annotated[int, CountType(16, 100_000)] = 4096  # commits kept for deltas and rollbacks
     most_followers: Annotated[int, CountType(1, 10_000)] = 400
-    admissions: Annotated[int, CountType(1, 10_000)] = 50  # new followers a second
-    copies: Annotated[int, CountType(1, 1000)] = 4  # whole copies served at once
+    admissions: Annotated[int, CountType(1, 10_000)] = 50  # new followers admitted a second
+    copies: Annotated[int, CountType(1, 1000)] = 4  # full copies served at once
     rate: Annotated[int, SizeType(4096, 10**9)] = 400_000  # bytes a second to all followers together
-    remember: Annotated[timedelta, DurationType(TENTH, 24 * HOUR)] = 10 * MINUTE  # who is unheard
+    remember: Annotated[timedelta, DurationType(TENTH_SECOND, 24 * HOUR)] = 10 * MINUTE  # unheard followers
 
     def enabled(self) -> bool:
-        """Whether this is a member."""
+        """Whether the process runs a member."""
         return self.folder is not None
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together."""
+        """Settings that contradict each other: the name of the setting, and the message."""
         found = []
         if len(set(self.voters)) != len(self.voters):
             found.append(("voters", "'voters' names one twice, allowed: each once"))
@@ -54,43 +54,43 @@
 
 
 class FollowedSettings(msgspec.Struct, frozen=True):
-    """A member that may be followed."""
+    """A member that a sender can follow."""
 
     address: Annotated[tuple[str, int], AddressType()] | None = None
     zone: Annotated[str, TextType("a zone's name")] = ""
     region: Annotated[str, TextType("a region's name")] = ""
 
     def faults(self) -> list[tuple[str, str]]:
-        """A member that nobody can find."""
+        """The missing address, if it is: the name of the setting, and the message."""
         return [] if self.address is not None else [("address", "a member without 'address', wanted: one")]
 
 
 class FollowSettings(msgspec.Struct, frozen=True):
-    """Whom a sender follows, and how often it asks."""
+    """The members that a sender can follow, and how often it polls."""
 
-    folder: Annotated[str, FOLDER] | None = None  # off where it is not set
+    folder: Annotated[str, FOLDER] | None = None  # without it, the sender follows no member
     keys: Annotated[str, TextType("the path of a file with keys")] | None = None
-    listen: Annotated[tuple[str, int], AddressType()] = ("127.0.0.1", 0)  # where it asks from
-    name: Annotated[str, TextType("a name that no other has")] | None = None  # else the configuration's
+    listen: Annotated[tuple[str, int], AddressType()] = ("127.0.0.1", 0)  # the local UDP address
+    name: Annotated[str, TextType("a name that no other has")] | None = None  # default: the configuration's
     zone: Annotated[str, TextType("a zone's name")] = ""
     region: Annotated[str, TextType("a region's name")] = ""
     member: Annotated[dict[str, FollowedSettings], NamedBlocks(FollowedSettings)] = {}
-    period: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(seconds=3)  # between two polls
+    period: Annotated[timedelta, DurationType(TENTH_SECOND, HOUR)] = timedelta(seconds=3)  # between polls
     patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(seconds=1)
-    # for an answer; three in a row that do not come, and another member is followed
-    home: Annotated[timedelta, DurationType(TENTH, HOUR)] = timedelta(
+    # how long to wait for a reply; after three missed replies in a row another member is followed
+    home: Annotated[timedelta, DurationType(TENTH_SECOND, HOUR)] = timedelta(
         seconds=60
-    )  # between two looks at the own
-    # zone's member, where another is followed
-    rate: Annotated[int, SizeType(4096, 10**9)] = 200_000  # bytes a second asked for in a whole copy
-    budget: Annotated[int, SizeType(1024, 10**9)] = 7000  # bytes a second in all else
+    )  # between probes of the member
+    # in the own zone, while a member elsewhere is followed
+    rate: Annotated[int, SizeType(4096, 10**9)] = 200_000  # bytes a second requested of a full copy
+    budget: Annotated[int, SizeType(1024, 10**9)] = 7000  # bytes a second of all other traffic
 
     def enabled(self) -> bool:
-        """Whether a member is followed."""
+        """Whether the sender follows a member."""
         return self.folder is not None
 
     def faults(self) -> list[tuple[str, str]]:
-        """What does not go together."""
+        """Settings that contradict each other: the name of the setting, and the message."""
         found = []
         if self.enabled() and self.keys is None:
             found.append(("folder", "'folder' without 'keys', wanted: the path of a file with keys"))
