--- a/tests/plane.py
+++ b/tests/plane.py
@@ -1,11 +1,11 @@
-"""A control plane of real member processes, who follows it, and a bad network between all of them.
+"""A control plane of real member processes, its followers, and a faulty network between all of them.
 
-`Hollow` is a sender without its messages: the real follower, with the real seal and store, on a socket of its
-own. It writes down each revision that comes into force there, with its entries: what a test counts is that,
-and no member's word. Many of them share a thread (`Hollows`).
+`FollowerHost` is a sender without its messages: the real follower, with the real seal and store, on a socket
+of its own. It records each revision that comes into force there, with its entries. Tests rely on these
+records and not on what members report. Many hosts share a thread (`FollowerLoop`).
 
-`Plane.check` holds what was in force anywhere against the changes that were accepted: revision by revision,
-entry by entry.
+`Plane.check` compares what was in force anywhere with the accepted changes, revision by revision and entry by
+entry.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 from willownotch.peers.seal import Seal, read_keys
 
 KEYS = f"1 {'ab' * 32}\n"
-PATIENCE = 30.0  # s; nine processes start and find each other within it
-LARGEST = 65535
-ROUND_MOST = 64  # datagrams of a socket before the others have their turn
-IDLE_S = 1.0  # s between two rounds at the most
+PATIENCE = 30.0  # s; enough for nine processes to start and find each other
+MAX_UDP_BYTES = 65535
+MAX_DATAGRAMS_PER_TURN = 64  # of one socket, before the other sockets have their turn
+MAX_WAIT_S = 1.0  # between two rounds of the loop
 PLACES = (
     ("north", "n1"),
     ("north", "n1"),
@@ -71,22 +71,22 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """A revision that came into force at a follower, and when (s, the machine's monotonic clock)."""
+    """A revision that came into force at a follower, and when (s of the machine's monotonic clock)."""
 
     at: float
     revision: int
-    entries: dict[str, bytes] | None = None  # where they are asked for
+    entries: dict[str, bytes] | None = None  # None where they are not recorded
 
 
 class Unsynced(Files):
-    """Files that are not waited for: hundreds of folders share a disk here that each would have alone."""
+    """Files without fsync: here hundreds of folders share a disk, where in production each has its own."""
 
     def sync(self, file):
         pass
 
 
 class FollowerHost:
-    """One follower on a socket. `cut` (members' addresses) and `loss` hold for its datagrams, both ways."""
+    """One follower on a socket. `cut` (members' addresses) and `loss` (a share) apply in both directions."""
 
     def __init__(self, name, settings, keys, host="127.0.0.1", seed=0, files=None, entries=True):
         self.name, self.settings, self.keys, self.entries = name, settings, keys, entries
@@ -95,11 +95,11 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind((host, 0))
         self.sock.setblocking(False)
-        self.history = []  # of InForce, over all its processes
-        self.lives = []  # where in the history a process began
+        self.history = []  # of InForce, over all its starts
+        self.starts = []  # indexes in the history at which it was started
         self.loss, self.cut = 0.0, frozenset()
         self.sent = self.sent_bytes = self.received = self.received_bytes = self.dropped = 0
-        self.unsound = None  # from an offered document's entries to why they cannot be applied, or None
+        self.reject_reason = None  # a function from offered entries to why they cannot be applied, or None
         self.follower = self.store = self.seal = self.held = None
 
     @property
@@ -107,21 +107,21 @@
         return self.follower is not None
 
     def begin(self):
-        """A process's start, with what the folder has."""
+        """Starts the follower with the contents of its folder."""
         uid = self.random.getrandbits(48)
         self.seal = Seal(uid, self.keys, decode, VERSION)
         self.store = Store(self.folder, self.files, self.name)
         self.held = Held.restored(self.store.load())
-        self.lives.append(len(self.history))
+        self.starts.append(len(self.history))
         self.follower = Follower(
             self.name, uid, self.held, self.settings, time.monotonic(), self.random, self._keep
         )
         if self.held.in_force:
-            self._in_force()
-        self._take()
+            self._record_in_force()
+        self._apply_offers()
 
     def end(self):
-        """As a kill does it: nothing is said."""
+        """Stops as if killed: sends no message."""
         self.store.close()
         self.follower = self.store = self.seal = self.held = None
 
@@ -132,20 +132,20 @@
             return False
         return True
 
-    def _lost(self, address):
+    def _drops(self, address):
         if address in self.cut or (self.loss and self.random.random() < self.loss):
             self.dropped += 1
             return True
         return False
 
     def readable(self):
-        """Take the datagrams that there are."""
-        for _ in range(ROUND_MOST):
+        """Handles the datagrams that have arrived."""
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data, address = self.sock.recvfrom(LARGEST)
+                data, address = self.sock.recvfrom(MAX_UDP_BYTES)
             except OSError:
                 return
-            if not self.running or self._lost(address):
+            if not self.running or self._drops(address):
                 continue
             self.received += 1
             self.received_bytes += len(data)
@@ -153,7 +153,7 @@
                 self._send(self.follower.receive(time.monotonic(), address, message))
 
     def tick(self):
-        """What is due by the clock."""
+        """Does what is due."""
         self._send(self.follower.tick(time.monotonic()))
 
     def _send(self, sends):
@@ -161,91 +161,95 @@
             data = self.seal.close(each.message)
             self.sent += 1
             self.sent_bytes += len(data)
-            if not self._lost(each.address):
+            if not self._drops(each.address):
                 with contextlib.suppress(OSError):
                     self.sock.sendto(data, each.address)
-        self._take()
+        self._apply_offers()
 
-    def _take(self):
-        """Put what is offered in force."""
+    def _apply_offers(self):
+        """Puts the offered revisions in force, or refuses them."""
         while self.follower.offered:
             offer = self.follower.offered.pop(0)
-            why = self.unsound(dict(self.held.document.items())) if self.unsound is not None else None
-            if why is not None:
-                self.follower.refused(time.monotonic(), offer.revision, why)
+            reason = (
+                self.reject_reason(dict(self.held.document.items()))
+                if self.reject_reason is not None
+                else None
+            )
+            if reason is not None:
+                self.follower.refused(time.monotonic(), offer.revision, reason)
                 continue
             self.follower.in_force(time.monotonic(), offer.revision)
-            self._in_force()
+            self._record_in_force()
 
-    def _in_force(self):
+    def _record_in_force(self):
         entries = dict(self.held.entries_in_force()) if self.entries else None
         self.history.append(InForce(time.monotonic(), self.held.in_force, entries))
 
     @property
     def revision(self):
-        """The one in force, 0 before any."""
+        """The revision in force, or 0."""
         return self.history[-1].revision if self.history else 0
 
 
 class FollowerLoop:
-    """Many followers on one thread. Other threads hand it what is to be done (`do`)."""
+    """Runs many followers on one thread. Other threads pass it calls with `do` or `later`."""
 
     def __init__(self):
-        self.selector, self.wanted = selectors.DefaultSelector(), queue.SimpleQueue()
+        self.selector, self.calls = selectors.DefaultSelector(), queue.SimpleQueue()
         self.all, self.due, self.order = [], [], itertools.count()
-        self.woken, self.waking = socket.socketpair()
-        self.woken.setblocking(False)
-        self.selector.register(self.woken, selectors.EVENT_READ, None)
+        self.wake_reader, self.wake_writer = socket.socketpair()
+        self.wake_reader.setblocking(False)
+        self.selector.register(self.wake_reader, selectors.EVENT_READ, None)
         self.ending = False
 
-    def add(self, hollow):
-        """Have one run on this thread; it has not begun."""
-        self.all.append(hollow)
-        self.selector.register(hollow.sock, selectors.EVENT_READ, hollow)
+    def add(self, host):
+        """Adds a follower that has not started yet."""
+        self.all.append(host)
+        self.selector.register(host.sock, selectors.EVENT_READ, host)
 
-    def schedule(self, hollow):
-        """Look again when it has something due."""
-        if hollow.running and (due := hollow.follower.due()) is not None:
-            heapq.heappush(self.due, (due, next(self.order), hollow))
+    def schedule(self, host):
+        """Schedules the follower's next tick."""
+        if host.running and (due := host.follower.due()) is not None:
+            heapq.heappush(self.due, (due, next(self.order), host))
 
     def round(self):
-        """Wait for a datagram or a timer, and do what there is."""
-        wait = min(IDLE_S, max(0.0, self.due[0][0] - time.monotonic())) if self.due else IDLE_S
-        if not self.wanted.empty():
+        """Waits for a datagram, a timer or a call, and handles what is there."""
+        wait = min(MAX_WAIT_S, max(0.0, self.due[0][0] - time.monotonic())) if self.due else MAX_WAIT_S
+        if not self.calls.empty():
             wait = 0.0
         for key, _ in self.selector.select(wait):
             if key.data is None:
                 with contextlib.suppress(OSError):
-                    self.woken.recv(LARGEST)
+                    self.wake_reader.recv(MAX_UDP_BYTES)
             else:
                 key.data.readable()
                 self.schedule(key.data)
-        if not self.wanted.empty():  # one a round: the followers are not to wait for many
-            self.wanted.get()()
+        if not self.calls.empty():  # one call a round, so that the followers do not wait for many
+            self.calls.get()()
         now = time.monotonic()
         while self.due and self.due[0][0] <= now:
-            hollow = heapq.heappop(self.due)[2]
-            if hollow.running and (due := hollow.follower.due()) is not None and due <= now:
-                hollow.tick()
-                self.schedule(hollow)
+            host = heapq.heappop(self.due)[2]
+            if host.running and (due := host.follower.due()) is not None and due <= now:
+                host.tick()
+                self.schedule(host)
 
     def run(self):
         while not self.ending:
             self.round()
 
     def later(self, work):
-        """Have this thread do something when the followers' turn has been; any thread may call it."""
-        self.wanted.put(work)
-        self.waking.send(b"x")
+        """Passes a call to the loop's thread; any thread may do so."""
+        self.calls.put(work)
+        self.wake_writer.send(b"x")
 
     def do(self, work):
-        """The same, and return what came of it; another thread calls it."""
+        """Runs a call on the loop's thread and returns its result; not for use on that thread."""
         done = queue.SimpleQueue()
 
         def run():
             try:
                 done.put((work(), None))
-            except Exception as fault:  # the caller's
+            except Exception as fault:  # raised again in the calling thread
                 done.put((None, fault))
 
         self.later(run)
@@ -254,22 +258,22 @@
             raise fault
         return found
 
-    def begin(self, hollow):
-        hollow.begin()
-        self.schedule(hollow)
+    def begin(self, host):
+        host.begin()
+        self.schedule(host)
 
     def close(self):
-        for hollow in self.all:
-            if hollow.running:
-                hollow.end()
-            hollow.sock.close()
+        for host in self.all:
+            if host.running:
+                host.end()
+            host.sock.close()
         self.selector.close()
-        self.woken.close()
-        self.waking.close()
+        self.wake_reader.close()
+        self.wake_writer.close()
 
 
 class Member:
-    """A member's process, with a folder that lasts."""
+    """A member process; its folder outlives the process."""
 
     def __init__(self, plane, number):
         self.plane, self.number, self.name = plane, number, f"m{number}"
@@ -280,10 +284,10 @@
         self.peers = plane.relay.door(self.name) if plane.relay else None
         self.followers = plane.relay.door(f"{self.name}/f") if plane.doors else None
         self.process, self.lines, self.stopped = None, [], False
-        self.port = 0  # for followers; the one that it had, where they know it by that
+        self.port = 0  # for followers; kept over restarts where followers are configured with it
 
     def start(self, bootstrap=False):
-        """Begin, and say where it listens once it does."""
+        """Starts a process; it logs its addresses once it listens."""
         self.settings.write_text(self.plane.member_settings(self), encoding="utf-8")
         words = [sys.executable, "-m", "willownotch", "member", "--settings", str(self.settings)]
         self.process = subprocess.Popen(
@@ -301,20 +305,20 @@
         with stderr:
             lines.extend(iter(stderr.readline, ""))
 
-    def listens(self, what):
-        """Its own address, once it has said so."""
-        said = f"{self.name} listens for {what} on "
+    def listen_address(self, what):
+        """Waits for the address in its log, and returns it."""
+        prefix = f"{self.name} listens for {what} on "
 
         def found():
             assert self.process.poll() is None, f"{self.name} has ended: {self.lines[-5:]}"
-            return next((line.rsplit(" ", 1)[1].strip() for line in self.lines if said in line), None)
+            return next((line.rsplit(" ", 1)[1].strip() for line in self.lines if prefix in line), None)
 
         host, port = until(found, PATIENCE).rsplit(":", 1)
         return host, int(port)
 
     def register_addresses(self):
-        """Let the network know where it is."""
-        peers, followers = self.listens("peers"), self.listens("followers")
+        """Waits until it listens, and registers its addresses with the network."""
+        peers, followers = self.listen_address("peers"), self.listen_address("followers")
         if self.plane.doors:
             self.plane.relay.behind(f"{self.name}/f", followers)
         else:
@@ -340,26 +344,29 @@
     def ask(self, question, about=None, patience=10.0):
         return ask(self.socket, question, about, patience)
 
-    def holds(self, asked):
+    def holds(self, change):
         """Whether its folder has a change, accepted or committed."""
-        wanted = bytes.fromhex(asked.id)
+        wanted = bytes.fromhex(change.id)
         return any(wanted in path.read_bytes() for path in self.folder.rglob("records"))
 
 
 class RealSender(Sender):
-    """A sender's process that follows. `revisions` are those in force by its log, over all its processes;
-    some are kept back there where they come fast. A process begins with the one that it had."""
+    """A sender process that follows a member. `revisions`: those in force by its log, over all its processes.
+    The log skips some when they come fast. A new process logs the revision that it starts with."""
 
-    SAID = re.compile(r"follow: (?:revision (\d+) is in force|begins with revision (\d+) in force)")
+    IN_FORCE_LINE = re.compile(r"follow: (?:revision (\d+) is in force|begins with revision (\d+) in force)")
 
     def __init__(self, plane, name, host, region, zone, **more):
         self.name, self.control = name, plane.path / f"{name}.s"
-        self.earlier, self.lives = [], []  # lines of ended processes; where in the revisions one began
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:  # of an address that is its own
+        self.earlier_lines, self.starts = (
+            [],
+            [],
+        )  # of ended processes; indexes in the revisions at which one started
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:  # to reserve a port
             free.bind((host, 0))
             self.address = free.getsockname()
         members = "".join(
-            f" member {m.name} {{\n  address {shown(m.followers)}\n  zone {m.zone}\n"
+            f" member {m.name} {{\n  address {format_address(m.followers)}\n  zone {m.zone}\n"
             f"  region {m.region}\n }}\n"
             for m in plane.members
         )
@@ -367,26 +374,26 @@
             more.pop("discovery"),
             settings=(
                 f"follow {{\n folder {plane.path / name}\n keys {plane.keys}\n name {name}\n zone {zone}\n"
-                f" region {region}\n listen {shown(self.address)}\n{plane.pace}"
+                f" region {region}\n listen {format_address(self.address)}\n{plane.pace}"
                 f"{members}}}\ncontrol {{\n socket {self.control}\n}}\n"
             ),
             **more,
         )
 
     def launch(self, *more, **named):
-        """Another process, on the folder as it is."""
-        self.earlier += getattr(self, "lines", [])
+        """Starts another process on the same folder."""
+        self.earlier_lines += getattr(self, "lines", [])
         self.lines = []
-        self.lives.append(len(self.revisions))
+        self.starts.append(len(self.revisions))
         super().launch(*more, **named)
 
     @property
     def revisions(self):
-        found = [self.SAID.search(line) for line in [*self.earlier, *self.lines]]
+        found = [self.IN_FORCE_LINE.search(line) for line in [*self.earlier_lines, *self.lines]]
         return [int(one[1] or one[2]) for one in found if one]
 
     def following(self):
-        """What it answers: whom it follows, what is in force; empty until it does."""
+        """The reply of its control socket: member, revision in force; empty if there is none."""
         with contextlib.suppress(AskError):
             return ask(self.control, "follow") or {}
         return {}
@@ -400,8 +407,8 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """A change that an author handed in, and what it was told of it."""
+class SubmittedChange:
+    """A change that an author submitted, and its outcome as the author knows it."""
 
     id: str
     member: str
@@ -414,7 +421,7 @@
 
 
 class Plane:
-    """Members, followers and the network between them. `authors` hand changes in while faults go on."""
+    """Members, followers and the network between them. `Authors` submit changes during the faults."""
 
     def __init__(
         self,
@@ -435,12 +442,12 @@
         self.member, self.lease, self.peers, self.follow = member, lease, peers, follow or {}
         self.pace = "".join(f" {word} {span.total_seconds():g}s\n" for word, span in self.follow.items())
         self.relay = Relay(seed, conditions) if network else None
-        self.doors = network and doors  # before the members' addresses for followers, too
+        self.doors = network and doors  # whether the network also relays the members' addresses for followers
         self.keys = self.path / "keys"
         self.keys.write_text(KEYS, encoding="utf-8")
         self.where = {f"m{n}": place for n, place in enumerate(places)}
         self.members = [Member(self, n) for n in range(len(places))]
-        self.asked, self.lock = [], threading.Lock()
+        self.changes, self.lock = [], threading.Lock()
         self.follower_loop, self.followers, self.senders, self.parties = FollowerLoop(), [], [], []
         self.thread = threading.Thread(target=self.follower_loop.run, daemon=True)
         self.thread.start()
@@ -449,16 +456,16 @@
             for number, (region, zone) in enumerate(followers):
                 self.add_follower(number, region, zone, entries)
         except BaseException:
-            self.close()  # no process outlives it
+            self.close()  # leaves no process behind
             raise
 
     # Members.
 
     def begin(self):
-        """The first start of all."""
+        """Starts all members for the first time."""
         for member in self.members:
             member.start(bootstrap=True)
-            if not self.relay:  # the seeds have to be known
+            if not self.relay:  # the next members need its address as a seed
                 member.register_addresses()
         for member in self.members:
             member.register_addresses()
@@ -466,8 +473,8 @@
     def member_settings(self, member):
         """The settings file of one member."""
         voters = " ".join(m.name for m in self.members)
-        advertise = f" advertise {shown(member.peers)}\n" if self.relay else ""
-        seeds = " ".join(shown(m.peers) for m in self.members[:3] if m is not member and m.peers)
+        advertise = f" advertise {format_address(member.peers)}\n" if self.relay else ""
+        seeds = " ".join(format_address(m.peers) for m in self.members[:3] if m is not member and m.peers)
         return (
             f"peers {{\n listen {member.host}:0\n{advertise} name {member.name}\n keys {self.keys}\n"
             f"{f' seeds {seeds}' if seeds else ''}\n{self.peers}}}\n"
@@ -480,14 +487,14 @@
         return [member for member in self.members if member.running]
 
     def restart(self, member, emptied=False):
-        """A killed one comes back, on its folder or on an empty one."""
+        """Starts a killed member again, on its folder or on an empty one."""
         if emptied:
             shutil.rmtree(member.folder)
         member.start()
         member.register_addresses()
 
     def writer(self, among=None):
-        """Wait until there is one that says it is the writer."""
+        """Waits until a member says that it is the writer, and returns it."""
 
         def found():
             for member in among or self.running():
@@ -501,7 +508,7 @@
     # Followers.
 
     def add_follower(self, number, region, zone, entries=True):
-        """One more, which has not begun; the network knows it by its name."""
+        """Adds a follower that has not started yet; the network knows it by its name."""
         name = f"t{number}"
         self.where[name] = region, zone
         settings = FollowSettings(
@@ -513,7 +520,7 @@
             member={m.name: FollowedSettings(m.followers, m.zone, m.region) for m in self.members},
             **self.follow,
         )
-        hollow = FollowerHost(
+        host = FollowerHost(
             name,
             settings,
             read_keys(KEYS),
@@ -523,13 +530,13 @@
         )
         if self.doors:
             self.relay.door(name)
-            self.relay.behind(name, hollow.sock.getsockname())
-        self.followers.append(hollow)
-        self.follower_loop.do(lambda: self.follower_loop.add(hollow))
-        return hollow
+            self.relay.behind(name, host.sock.getsockname())
+        self.followers.append(host)
+        self.follower_loop.do(lambda: self.follower_loop.add(host))
+        return host
 
     def add_sender(self, number, region, zone):
-        """A real sender, which runs."""
+        """Starts a real sender and returns it."""
         name = f"r{number}"
         self.where[name] = region, zone
         if not self.parties:
@@ -543,20 +550,20 @@
         return sender
 
     def start_followers(self):
-        for hollow in self.followers:
-            self.follower_loop.do(lambda h=hollow: self.follower_loop.begin(h))
+        for host in self.followers:
+            self.follower_loop.do(lambda h=host: self.follower_loop.begin(h))
         return self
 
-    def end_follower(self, hollow):
-        self.follower_loop.do(hollow.end)
+    def end_follower(self, host):
+        self.follower_loop.do(host.end)
 
-    def begin_follower(self, hollow):
-        self.follower_loop.do(lambda: self.follower_loop.begin(hollow))
+    def begin_follower(self, host):
+        self.follower_loop.do(lambda: self.follower_loop.begin(host))
 
     # The network.
 
     def cut(self, apart):
-        """No way between two of whom `apart(name, name)` says so; it goes on until another weather."""
+        """Drops what is sent between names for which `apart(name, name)` is true, until conditions change."""
 
         def between(source, target):
             a, b = source.partition("/")[0], target.partition("/")[0]
@@ -565,11 +572,11 @@
         self.relay.conditions = Conditions(cut=between)
 
     def cut_off(self, names):
-        """These are cut off from all others."""
+        """Cuts these off from all others."""
         self.cut(lambda a, b: (a in names) != (b in names))
 
     def in_region(self, region):
-        """The names of all that are there."""
+        """The names of all members, followers and senders in a region."""
         return {name for name, (other, _) in self.where.items() if other == region}
 
     def heal(self):
@@ -578,115 +585,126 @@
     # Changes.
 
     def change(self, member, sets, removes=(), base=None, patience=PATIENCE):
-        """Hand a change in at a member; what was told of it. Unless a base is given, it is made on what the
-        member holds, or on the last that authors were told of: the member may learn of it a little later."""
+        """Submits a change to a member; returns it with its outcome. Its default base is the member's
+        revision, or the last that an author knows of if that is later: the member may learn of it a
+        little later."""
         if base is None:
             try:
                 base = max(member.ask("entries", {"key": ""}, patience)["revision"], self.last())
             except AskError as fault:
-                return Asked("", member.name, sets, removes, text=str(fault))  # nothing was handed in
-        asked = Asked(secrets.token_hex(16), member.name, sets, removes, base)
+                return SubmittedChange(
+                    "", member.name, sets, removes, text=str(fault)
+                )  # nothing was submitted
+        change = SubmittedChange(secrets.token_hex(16), member.name, sets, removes, base)
         with self.lock:
-            self.asked.append(asked)
-        return self.again(asked, member, patience)
+            self.changes.append(change)
+        return self.resubmit(change, member, patience)
 
     def commit(self, member, sets):
-        """Hand a change in that has to be accepted; asked again for as long as its outcome is not known."""
-        asked = until(lambda: (found := self.change(member, sets)).id and found, PATIENCE)
-        until(lambda: asked.outcome != "unknown" or self.again(asked).outcome != "unknown", PATIENCE)
-        assert asked.outcome == "committed", asked
-        return asked
-
-    def later(self, member, sets):
-        """Hand a change in on a thread of its own; the change, and the thread."""
-        asked = Asked(
+        """Submits a change that has to be committed; asks for its outcome until it is known."""
+        change = until(lambda: (found := self.change(member, sets)).id and found, PATIENCE)
+        until(lambda: change.outcome != "unknown" or self.resubmit(change).outcome != "unknown", PATIENCE)
+        assert change.outcome == "committed", change
+        return change
+
+    def submit_in_background(self, member, sets):
+        """Submits a change on a thread of its own; returns the change and the thread."""
+        change = SubmittedChange(
             secrets.token_hex(16), member.name, sets, (), member.ask("entries", {"key": ""})["revision"]
         )
-        self.asked.append(asked)
-        thread = threading.Thread(target=self.again, args=(asked, member, 3.0), daemon=True)
+        self.changes.append(change)
+        thread = threading.Thread(target=self.resubmit, args=(change, member, 3.0), daemon=True)
         thread.start()
-        return asked, thread
+        return change, thread
 
-    def again(self, asked, member=None, patience=PATIENCE):
-        """Ask for a change by its id, at any member; what was told stands in it."""
+    def resubmit(self, change, member=None, patience=PATIENCE):
+        """Submits a change again with its id, to any member, and records the outcome in it."""
         member = member or next(iter(self.running()))
         text = json.dumps(
             {
-                "id": asked.id,
-                "author": asked.member,
-                "base": asked.base,
-                "sets": asked.sets,
-                "removes": asked.removes,
+                "id": change.id,
+                "author": change.member,
+                "base": change.base,
+                "sets": change.sets,
+                "removes": change.removes,
             }
         )
         try:
-            told = member.ask("change", {"change": text}, patience)
+            reply = member.ask("change", {"change": text}, patience)
         except AskError as fault:
-            asked.text = str(fault)
-            return asked
-        assert asked.outcome in ("unknown", told["outcome"]), (asked, told)  # one outcome, once it is known
-        asked.outcome, asked.revision, asked.text = told["outcome"], told["revision"], told["text"]
-        return asked
-
-    def settle(self):
-        """Ask again after each change whose outcome nobody was told, until it has one."""
+            change.text = str(fault)
+            return change
+        assert change.outcome in ("unknown", reply["outcome"]), (
+            change,
+            reply,
+        )  # a known outcome never changes
+        change.outcome, change.revision, change.text = reply["outcome"], reply["revision"], reply["text"]
+        return change
+
+    def resolve_outcomes(self):
+        """Submits each change with an unknown outcome again until its outcome is known."""
         until(
-            lambda: all(a.outcome != "unknown" or self.again(a).outcome != "unknown" for a in self.asked),
+            lambda: all(
+                a.outcome != "unknown" or self.resubmit(a).outcome != "unknown" for a in self.changes
+            ),
             PATIENCE,
         )
 
-    # What was seen from outside.
+    # Checks of what followers had in force.
 
     def last(self):
-        """The highest revision that an author was told of."""
-        return max((a.revision for a in self.asked if a.outcome == "committed"), default=0)
+        """The highest revision that an author knows of."""
+        return max((a.revision for a in self.changes if a.outcome == "committed"), default=0)
 
-    def arrive(self, among=None, patience=PATIENCE):
-        """Wait until the last revision is in force at all followers, or at some."""
+    def wait_in_force(self, among=None, patience=PATIENCE):
+        """Waits until the last revision is in force at all followers, or at those of `among`."""
         last = self.last()
         until(lambda: all(h.revision >= last for h in among or self.followers), patience)
         return self
 
     def check(self, restored=()):
-        """Each revision in force anywhere is what the accepted changes make of it, so that none that was
-        refused or lost is in any; and none goes back, but to the older folder that one was given."""
+        """Asserts that each revision in force anywhere has exactly the entries that the committed changes
+        make, so that it contains no refused or lost change, and that no follower went back to an older
+        revision, except for those that were `restored` from an older folder."""
         accepted = {}
-        for asked in self.asked:
-            if asked.outcome == "committed":
-                assert accepted.setdefault(asked.revision, asked) is asked, f"two became {asked.revision}"
+        for change in self.changes:
+            if change.outcome == "committed":
+                assert (
+                    accepted.setdefault(change.revision, change) is change
+                ), f"two changes made revision {change.revision}"
         assert sorted(accepted) == list(range(1, len(accepted) + 1)), sorted(accepted)
         made, wanted = [{}], {}
         for revision in range(1, len(accepted) + 1):
-            asked = accepted[revision]
-            wanted = {k: v for k, v in wanted.items() if k not in asked.removes} | {
-                key: encode(value) for key, value in asked.sets.items()
+            change = accepted[revision]
+            wanted = {k: v for k, v in wanted.items() if k not in change.removes} | {
+                key: encode(value) for key, value in change.sets.items()
             }
             made.append(wanted)
-        for hollow in self.followers:
-            for number, (before, after) in enumerate(itertools.pairwise(hollow.history), 1):
-                fresh = number in hollow.lives  # it begins with the one that it had
+        for host in self.followers:
+            for number, (before, after) in enumerate(itertools.pairwise(host.history), 1):
+                started = number in host.starts  # it starts with the revision that it had
                 assert (
                     before.revision < after.revision
-                    or (fresh and hollow in restored)
-                    or (fresh and before.revision == after.revision)
-                ), (hollow.name, before, after)
-            for seen in hollow.history:
-                assert seen.entries == made[seen.revision], f"{hollow.name} at {seen.revision}"
+                    or (started and host in restored)
+                    or (started and before.revision == after.revision)
+                ), (host.name, before, after)
+            for seen in host.history:
+                assert seen.entries == made[seen.revision], f"{host.name} at {seen.revision}"
 
     def show(self):
-        """Print how each member and follower is, for a test that fails."""
+        """Prints the state of each member, follower and sender, for a failed test."""
         for member in self.members:
             try:
-                told = member.ask("status", patience=2.0) if member.running else "it does not run"
+                reply = member.ask("status", patience=2.0) if member.running else "it does not run"
             except AskError as fault:
-                told = fault
-            print(member.name, json.dumps(told, default=str), *member.lines[-12:], sep="\n  ")
-        for hollow in self.followers:
-            view = hollow.follower.view(time.monotonic()) if hollow.running else "it does not run"
-            print(hollow.name, [seen.revision for seen in hollow.history], hollow.lives, view)
+                reply = fault
+            print(member.name, json.dumps(reply, default=str), *member.lines[-12:], sep="\n  ")
+        for host in self.followers:
+            view = host.follower.view(time.monotonic()) if host.running else "it does not run"
+            print(host.name, [seen.revision for seen in host.history], host.starts, view)
         for sender in self.senders:
-            print(sender.name, sender.revisions, sender.lives, *sender.lines[-20:], sep="\n  ")
-        print(*[a for a in self.asked if a.outcome == "unknown"], sep="\n")
+            print(sender.name, sender.revisions, sender.starts, *sender.lines[-20:], sep="\n  ")
+        print(*[a for a in self.changes if a.outcome == "unknown"], sep="\n")
 
     def close(self):
         self.follower_loop.ending = True
@@ -704,8 +722,8 @@
 
 
 class Authors:
-    """Threads that hand in one change after the other, each at members drawn from those that run: half of
-    them on keys that all of them change."""
+    """Threads that submit one change after the other to running members drawn at random. Half of the changes
+    are of keys that all threads change."""
 
     def __init__(self, plane, count=3, members=None, seed=None):
         self.plane, self.members, self.ending = plane, members, threading.Event()
@@ -734,13 +752,13 @@
             raise
 
     def end(self):
-        """No more; what they were told stands in the plane's `asked`."""
+        """Stops the threads; the changes with their outcomes are in the plane's `changes`."""
         self.ending.set()
         for thread in self.threads:
             thread.join(PATIENCE)
         assert not self.faults, self.faults
 
 
-def shown(address):
-    """As `host:port`."""
+def format_address(address):
+    """An address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/tests/test_controlplane_faults.py
+++ b/tests/test_controlplane_faults.py
@@ -1,8 +1,8 @@
 """The control plane in real processes with faults between them: nine members, a dozen followers.
 
-What is counted comes from outside: what authors were told, and the revisions that came into force at each
-follower, with all entries. `Plane.check` holds one against the other: no revision goes back, each is what the
-accepted changes make of it, and nothing of a change that was refused or lost is in any.
+The tests rely only on the outcomes that authors received and on the revisions, with all entries, that came
+into force at each follower. `Plane.check` compares the two: no follower goes back to an older revision, each
+revision has the entries that the committed changes make, and none contains a change that was refused or lost.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 SEED = 35
 
 
-whole = []  # a plane that a test has left as it found it, for the next one
+reusable = []  # the plane of a test that ended well, for the next test
 
 
 @pytest.fixture(scope="module", autouse=True)
-def last_one():
-    """Nine processes take seconds to start: they outlive a test that ends well."""
+def close_reusable():
+    """Closes the last plane. It outlives a passed test, since nine processes take seconds to start."""
     yield
-    for each in whole:
+    for each in reusable:
         each.close()
 
 
@@ -44,8 +44,8 @@
     made = []
 
     def make(conditions=None, member=None):
-        if member is None and whole:
-            made.append(whole.pop())
+        if member is None and reusable:
+            made.append(reusable.pop())
             made[-1].relay.conditions = conditions or Conditions()
         else:
             path = tmp_path if member else tmp_path_factory.mktemp("plane")
@@ -61,27 +61,30 @@
             )
             made[-1].writer()
             made[-1].start_followers()
-        print(f"seed {SEED}, begins at revision {made[-1].last()}")
+        print(f"seed {SEED}, starts at revision {made[-1].last()}")
         return made[-1]
 
     yield make
     for each in made:
-        if each not in whole:
+        if each not in reusable:
             each.show()
             each.close()
 
 
 def finish(plane, authors=None):
-    """All outcomes are known, the last revision is in force everywhere, and all of it holds together."""
+    """Waits until all outcomes are known and the last revision is in force everywhere, checks the plane, and
+    keeps it for the next test."""
     if authors is not None:
         authors.end()
-    plane.settle()
-    plane.arrive().check()
-    whole.append(plane)
+    plane.resolve_outcomes()
+    plane.wait_in_force().check()
+    reusable.append(plane)
 
 
-def test_a_writer_stopped_in_mid_change_and_continued_has_nothing_half_in_force(plane):
-    made = plane(conditions=Conditions(delay=0.02))  # a change takes two ways: one is always under way
+def test_a_writer_paused_during_a_change_leaves_nothing_partly_in_force(plane):
+    made = plane(
+        conditions=Conditions(delay=0.02)
+    )  # a change takes two message delays, so one is always in progress
     authors = Authors(made)
     before = made.last()
     until(lambda: made.last() >= before + 5, PATIENCE)
@@ -99,36 +102,36 @@
     finish(made, authors)
 
 
-def test_a_writer_killed_between_majority_and_answer_has_its_change_accepted_once(plane):
+def test_a_change_whose_writer_is_killed_after_the_majority_accepted_is_committed_once(plane):
     made = plane()
     for count in range(2):
         made.commit(made.members[0], {"data/before": str(count)})
         first = made.writer()
         others = [m for m in made.running() if m is not first]
-        # What it says goes out, and nothing that is said to it comes back.
+        # Its frames go out, and none reaches it.
         made.cut(lambda a, b, name=first.name: b == name)
-        asked, thread = made.later(first, {"data/key": str(count)})
-        until(lambda asked=asked, others=others: sum(m.holds(asked) for m in others) >= 5, PATIENCE)
+        change, thread = made.submit_in_background(first, {"data/key": str(count)})
+        until(lambda change=change, others=others: sum(m.holds(change) for m in others) >= 5, PATIENCE)
         first.kill()
         thread.join()
-        assert asked.outcome == "unknown"
+        assert change.outcome == "unknown"
         made.heal()
-        other = made.change(others[0], {"data/key": "late"}, base=asked.base)
-        made.settle()
-        assert asked.outcome == "committed"
-        assert (other.outcome, other.revision) == ("lost", asked.revision)
+        other = made.change(others[0], {"data/key": "late"}, base=change.base)
+        made.resolve_outcomes()
+        assert change.outcome == "committed"
+        assert (other.outcome, other.revision) == ("lost", change.revision)
         made.restart(first)
     finish(made)
 
 
-def test_four_members_that_lose_their_folders_take_no_accepted_change_with_them(plane):
+def test_an_accepted_change_survives_four_members_that_lose_their_folders(plane):
     made = plane()
     made.commit(made.members[0], {"data/all": "1"})
-    made.arrive()
+    made.wait_in_force()
     first = made.writer()
     rest = [m for m in made.members if m is not first]
     apart, few, last = rest[:4], rest[4:7], rest[7]
-    # The change is known to five alone: four of them are lost, the fifth is away when they come back.
+    # Only five members know the change: four lose their folders, the fifth is cut off when they return.
     made.cut_off({m.name for m in apart})
     made.commit(first, {"data/five": "2"})
     for member in (first, *few):
@@ -136,7 +139,7 @@
     made.cut_off({last.name})
     for member in (first, *few):
         made.restart(member, emptied=True)
-    # Eight are there; all that they could make without the fifth would go back behind it.
+    # Eight members run. A revision that they committed without the fifth would replace its change.
     assert made.change(apart[0], {"data/eight": "3"}, patience=3.0).outcome != "committed"
     made.heal()
     before, authors = made.last(), Authors(made)
@@ -144,10 +147,10 @@
     finish(made, authors)
 
 
-def test_a_region_cut_off_takes_no_change_and_has_the_others_after_it(plane):
+def test_a_region_cut_off_accepts_no_change_and_catches_up_afterwards(plane):
     made = plane()
     made.commit(made.members[0], {"data/before": "0"})
-    made.arrive()
+    made.wait_in_force()
     south = made.in_region("south")
     made.cut_off(south)
     sides = [[m for m in made.members if (m.name in south) is side] for side in (False, True)]
@@ -156,10 +159,10 @@
     inside = [h for h in made.followers if h.name in south]
     outside = [h for h in made.followers if h.name not in south]
     until(lambda: made.last() >= before + 5, PATIENCE)
-    made.arrive(outside)
+    made.wait_in_force(outside)
     assert {h.revision for h in inside} == {before}
     assert not [
-        a for a in made.asked if a.outcome == "committed" and a.revision > before and a.member in south
+        a for a in made.changes if a.outcome == "committed" and a.revision > before and a.member in south
     ]
     made.heal()
     until(lambda: all(h.revision > before for h in inside), PATIENCE)
@@ -167,12 +170,12 @@
     finish(made, north)
 
 
-def test_a_member_that_is_behind_moves_nobody_back(plane):
+def test_a_member_that_is_behind_moves_no_follower_back(plane):
     made = plane()
     made.commit(made.members[0], {"data/before": "0"})
-    made.arrive()
+    made.wait_in_force()
     late = made.members[8].name
-    made.cut(lambda a, b: a[0] == b[0] == "m" and late in (a, b))  # from the members alone
+    made.cut(lambda a, b: a[0] == b[0] == "m" and late in (a, b))  # from the members, not from the followers
     for count in range(3):
         made.commit(made.members[0], {"data/late": str(count)})
 
@@ -181,7 +184,9 @@
 
     until(lambda: len(ahead()) >= 9, PATIENCE)
     earlier = {h: h.follower.counters["behind"] for h in ahead()}
-    made.cut(lambda a, b: late in (a, b) if a[0] == b[0] else late not in (a, b))  # it is all that there is
+    made.cut(
+        lambda a, b: late in (a, b) if a[0] == b[0] else late not in (a, b)
+    )  # only this member can be reached
     until(lambda: sum(h.follower.counters["behind"] > n for h, n in earlier.items()) >= 3, PATIENCE)
     made.heal()
     made.commit(made.members[0], {"data/after": "0"})
@@ -196,7 +201,7 @@
     ],
     ids=["delayed and doubled", "dropped"],
 )
-def test_what_is_delayed_doubled_or_dropped_makes_no_difference(plane, conditions):
+def test_delayed_repeated_or_dropped_frames_do_not_change_the_result(plane, conditions):
     made = plane(conditions=conditions)
     before, authors = made.last(), Authors(made)
     until(lambda: made.last() >= before + 20, 2 * PATIENCE)
@@ -204,7 +209,7 @@
     finish(made, authors)
 
 
-def test_real_senders_have_each_change_once_over_kills_of_members_and_of_themselves(plane):
+def test_real_senders_apply_each_change_once_over_kills_of_members_and_senders(plane):
     made = plane()
     senders = [made.add_sender(60 + n, *PLACES[place]) for n, place in enumerate((0, 8))]
     try:
@@ -221,16 +226,16 @@
         made.restart(killed)
         senders[1].process.wait(PATIENCE)
         senders[1].start()
-        until(lambda: senders[1].revision >= held, PATIENCE)  # with nobody to ask
+        until(lambda: senders[1].revision >= held, PATIENCE)  # while cut off from all members
         made.heal()
         authors.end()
-        made.settle()
+        made.resolve_outcomes()
         for sender in senders:
             until(lambda sender=sender: sender.revision == made.last(), PATIENCE)
             revisions = sender.revisions
-            assert all(a < b for a, b in itertools.pairwise(revisions[: sender.lives[-1]]))
-            assert all(a < b for a, b in itertools.pairwise(revisions[sender.lives[-1] :]))
-            assert set(revisions) <= {a.revision for a in made.asked if a.outcome == "committed"}
+            assert all(a < b for a, b in itertools.pairwise(revisions[: sender.starts[-1]]))
+            assert all(a < b for a, b in itertools.pairwise(revisions[sender.starts[-1] :]))
+            assert set(revisions) <= {a.revision for a in made.changes if a.outcome == "committed"}
         finish(made)
     finally:
         for sender in senders:
@@ -241,29 +246,29 @@
     made = plane(member=HISTORY)
     for count in range(3):
         made.commit(made.members[0], {f"data/{count}": str(count)})
-    made.arrive()
+    made.wait_in_force()
     one, two = made.followers[:2]
     copies = {}
-    for hollow in (one, two):
-        made.end_follower(hollow)
-        copies[hollow.name] = shutil.copytree(hollow.folder, tmp_path / f"{hollow.name}.old")
-        made.begin_follower(hollow)
+    for follower in (one, two):
+        made.end_follower(follower)
+        copies[follower.name] = shutil.copytree(follower.folder, tmp_path / f"{follower.name}.old")
+        made.begin_follower(follower)
     for count in range(5):
         made.commit(made.members[0], {"data/few": str(count)})
-    made.arrive()
+    made.wait_in_force()
     made.end_follower(one)
     shutil.rmtree(one.folder)
     shutil.copytree(copies[one.name], one.folder)
-    made.begin_follower(one)  # what it lacks is still a difference
-    made.arrive()
+    made.begin_follower(one)  # the missing revisions are still served as a delta
+    made.wait_in_force()
     for count in range(20):
         made.commit(made.members[0], {"data/many": str(count)})
-    made.arrive()
+    made.wait_in_force()
     made.end_follower(two)
     shutil.rmtree(two.folder)
     shutil.copytree(copies[two.name], two.folder)
-    made.begin_follower(two)  # and what this one lacks is found by digests
-    made.arrive()
-    for hollow in (one, two):
-        assert hollow.history[hollow.lives[-1]].revision == 3
+    made.begin_follower(two)  # the missing entries of this one are found by comparing digests
+    made.wait_in_force()
+    for follower in (one, two):
+        assert follower.history[follower.starts[-1]].revision == 3
     made.check(restored={one, two})
