--- a/tests/test_controlplane_page.py
+++ b/tests/test_controlplane_page.py
@@ -1,4 +1,4 @@
-"""The operators' page has every setting with its default, every line and every counter of the code."""
+"""The operators' page documents every setting with its default, every log line and every counter."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return "\n".join((PACKAGE / f"{name}.py").read_text(encoding="utf-8") for name in names)
 
 
-def shown(name, value):
+def format_default(name, value):
     if isinstance(value, timedelta):
         units = {"period": 1, "home": 1, "lease": 1, "patience": 1, "remember": 60}
         unit = units[name]
@@ -41,30 +41,33 @@
         if default in (None, (), "", {}) or default is msgspec.NODEFAULT:
             assert rows, word
         else:
-            assert any(f"| `{shown(name, default)}` |" in row for row in rows), (word, shown(name, default))
+            assert any(f"| `{format_default(name, default)}` |" in row for row in rows), (
+                word,
+                format_default(name, default),
+            )
 
 
-def test_every_counter_is_told():
+def test_every_counter_is_documented():
     text = source("commit", "voter", "writer", "catchup", "serving", "follower", "member", "sender")
     counters = set(re.findall(r"(?:counts|counters|traffic)\[\"([^\"]+)\"\]", text))
     assert len(counters) > 40
     for counter in counters:
-        bare = counter.removesuffix(" bytes")
-        assert f"`{bare}`" in PAGE or f"`{bare}," in PAGE, counter
+        name = counter.removesuffix(" bytes")
+        assert f"`{name}`" in PAGE or f"`{name}," in PAGE, counter
 
 
-def test_every_sort_of_line_is_told():
-    sorts = set(re.findall(r"say\(\s*\"([a-z]+)\"", source("member"))) | {"end", "dead", "reload"}
-    assert {"agreement", "apart", "commit", "folder", "nack", "refused", "voters"} <= sorts
-    for sort in sorts:
-        assert re.search(rf"^\| `{sort}`|^\| `peers`, `{sort}`", PAGE, re.M), sort
-    for sort in sorts | {"follow"}:
-        assert f"`{sort}`" in ON_CALL, sort
+def test_every_log_event_is_documented():
+    events = set(re.findall(r"say\(\s*\"([a-z]+)\"", source("member"))) | {"end", "dead", "reload"}
+    assert {"agreement", "apart", "commit", "folder", "nack", "refused", "voters"} <= events
+    for event in events:
+        assert re.search(rf"^\| `{event}`|^\| `peers`, `{event}`", PAGE, re.M), event
+    for event in events | {"follow"}:
+        assert f"`{event}`" in ON_CALL, event
 
 
-def test_what_members_and_followers_say_is_told():
-    said = re.findall(r"log_lines\.append\(f?\"([a-z ]+)", source("voter", "commit"))
-    said += re.findall(r"self\.say\(f?\"([a-z ]{8,})", source("sender"))
-    assert len(said) >= 8
-    for text in said:
+def test_log_sentences_of_members_and_followers_are_documented():
+    sentences = re.findall(r"log_lines\.append\(f?\"([a-z ]+)", source("voter", "commit"))
+    sentences += re.findall(r"self\.say\(f?\"([a-z ]{8,})", source("sender"))
+    assert len(sentences) >= 8
+    for text in sentences:
         assert text.strip() in PAGE, text
