--- a/tests/plane.py
+++ b/tests/plane.py
@@ -358,11 +358,9 @@
 
     def __init__(self, plane, name, host, region, zone, **more):
         self.name, self.control = name, plane.path / f"{name}.s"
-        self.earlier_lines, self.starts = (
-            [],
-            [],
-        )  # of ended processes; indexes in the revisions at which one started
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:  # to reserve a port
+        # The log of ended processes, and the indexes in `revisions` at which a process started.
+        self.earlier_lines, self.starts = [], []
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:  # to find a free port of the host
             free.bind((host, 0))
             self.address = free.getsockname()
         members = "".join(
@@ -592,9 +590,8 @@
             try:
                 base = max(member.ask("entries", {"key": ""}, patience)["revision"], self.last())
             except AskError as fault:
-                return SubmittedChange(
-                    "", member.name, sets, removes, text=str(fault)
-                )  # nothing was submitted
+                # Nothing was submitted.
+                return SubmittedChange("", member.name, sets, removes, text=str(fault))
         change = SubmittedChange(secrets.token_hex(16), member.name, sets, removes, base)
         with self.lock:
             self.changes.append(change)
@@ -634,10 +631,8 @@
         except AskError as fault:
             change.text = str(fault)
             return change
-        assert change.outcome in ("unknown", reply["outcome"]), (
-            change,
-            reply,
-        )  # a known outcome never changes
+        # A known outcome never changes.
+        assert change.outcome in ("unknown", reply["outcome"]), (change, reply)
         change.outcome, change.revision, change.text = reply["outcome"], reply["revision"], reply["text"]
         return change
 
--- a/willownotch/controlplane/member.py
+++ b/willownotch/controlplane/member.py
@@ -267,7 +267,7 @@
     # Threads
 
     def start(self, start: Callable[[str, Callable[[], None], bool], None]) -> None:
-        """Start its threads; `start` makes one, and with True one that must not end."""
+        """Starts the threads by `start(name, work, forever)`; a thread that is `forever` must not end."""
         self._start = lambda name, work: start(name, work, False)
         for what, address in (
             ("peers", self.peers_sock.getsockname()),
--- a/willownotch/controlplane/settings.py
+++ b/willownotch/controlplane/settings.py
@@ -27,8 +27,8 @@
     folder: Annotated[str, FOLDER] | None = None  # without it, no member runs
     voters: Annotated[tuple[str, ...], ListType(TextType("a member's name"))] = ()  # the same at all members
     followers: Annotated[tuple[str, int], AddressType()] | None = None  # UDP address for followers
+    # Every change is applied to the reference configuration, and refused if the result is not valid.
     reference: Annotated[str, TextType("the path of a sender's configuration")] | None = None
-    # every change is applied to the reference configuration, and refused if the result is not valid
     lease: Annotated[timedelta, DurationType(2 * TENTH_SECOND, MINUTE)] = timedelta(seconds=3)
     history: Annotated[int, CountType(16, 100_000)] = 4096  # commits kept for deltas and rollbacks
     most_followers: Annotated[int, CountType(1, 10_000)] = 400
@@ -76,12 +76,10 @@
     region: Annotated[str, TextType("a region's name")] = ""
     member: Annotated[dict[str, FollowedSettings], NamedBlocks(FollowedSettings)] = {}
     period: Annotated[timedelta, DurationType(TENTH_SECOND, HOUR)] = timedelta(seconds=3)  # between polls
+    # How long to wait for a reply; after three missed replies in a row another member is followed.
     patience: Annotated[timedelta, DurationType(timedelta(milliseconds=10), HOUR)] = timedelta(seconds=1)
-    # how long to wait for a reply; after three missed replies in a row another member is followed
-    home: Annotated[timedelta, DurationType(TENTH_SECOND, HOUR)] = timedelta(
-        seconds=60
-    )  # between probes of the member
-    # in the own zone, while a member elsewhere is followed
+    # Between probes of the member in the own zone, while a member elsewhere is followed.
+    home: Annotated[timedelta, DurationType(TENTH_SECOND, HOUR)] = timedelta(seconds=60)
     rate: Annotated[int, SizeType(4096, 10**9)] = 200_000  # bytes a second requested of a full copy
     budget: Annotated[int, SizeType(1024, 10**9)] = 7000  # bytes a second of all other traffic
 
