--- a/willownotch/net/decision_loop_replication.py
+++ b/willownotch/net/decision_loop_replication.py
@@ -86,9 +86,9 @@
             for ref in found
             if ref in self._outstanding or ref in self._ended_ids or ref in self._unanswered_notices
         ]
-        acquired = [entry for ref, entry in found.items() if ref not in known]
+        new_entries = [entry for ref, entry in found.items() if ref not in known]
         uncertain = [
-            e for e in acquired if e.ended is None and not acquired.is_complete(e.message.custody.acks)
+            e for e in new_entries if e.ended is None and not acquired.is_complete(e.message.custody.acks)
         ]
         orphans = [
             ref
@@ -102,7 +102,7 @@
         try:
             adopted = [
                 *(MessageEnded(ref, "withdrawn") for ref in local),
-                *(record for entry in acquired for record in entry.records()),
+                *(record for entry in new_entries for record in entry.records()),
             ]
             if adopted:
                 self.journal.append(adopted, adopted=True)
@@ -114,7 +114,7 @@
             return
         self.custody.begin_adoption(acquired)
         self.custody.adoption_written(
-            acquired, {entry.message.ref: entry.message.ends_at for entry in acquired}
+            acquired, {entry.message.ref: entry.message.ends_at for entry in new_entries}
         )
         self.custody.discard(acquired.book, known)
         ends = {ref: now + timedelta(milliseconds=acquired.refs[ref]) for ref in orphans}
@@ -128,7 +128,7 @@
         self._write(more)
         entries = [
             self.journal.live[ref]
-            for ref in [*(e.message.ref for e in acquired), *kept, *orphans]
+            for ref in [*(e.message.ref for e in new_entries), *kept, *orphans]
             if ref in self.journal.live
         ]
         outstanding = [entry for entry in entries if self._can_continue(entry)]
