--- a/tests/custody_fleet.py
+++ b/tests/custody_fleet.py
@@ -1,4 +1,4 @@
-"""Real senders with custody behind a network of faults, and hosts that can be kept from serving."""
+"""A fleet of real senders with custody behind a faulty network, with a host that can be kept from serving."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CustodyFleet(MeshFleet):
-    """Senders that copy orders, statuses and fees to others. Their host can be kept from serving."""
+    """Senders that replicate all classes. Their host serves from the start or from `start_serving`."""
 
     def __init__(self, number, tmp_path, replica="", serving=False, **more):
         self.replica = replica if " lease " in replica else " acks 1\n copies 2\n lease 600ms\n" + replica
@@ -31,7 +31,7 @@
         return super().settings(n).replace("usage {\n count yes\n}\n", "") + f"replica {{\n{self.replica}}}\n"
 
     def start_serving(self):
-        """From now on the host takes calls."""
+        """Lists the host as serving from now on."""
         self.discovery.index += 1
         self.discovery.entries = [self.discovery.entry(0, self.host)]
         self.discovery.tell(
@@ -47,14 +47,14 @@
         return ask(self.socket(n), "replica")
 
     def wait_ready(self, among=None, witnesses=None):
-        """Wait until messages can be taken on, by all or by some, in a book with as many witnesses as can be:
-        one with fewer is rolled soon."""
+        """Waits until senders (by default all running ones) can accept messages in a book with as many
+        witnesses as the fleet allows; a book with fewer is replaced soon."""
         witnesses = witnesses or witness_count(len(self.running()), ReplicaSettings().witnesses)
         for n in among if among is not None else self.running():
-            until(lambda n=n: self.owns(n, witnesses), PATIENCE)
+            until(lambda n=n: self.owns_current_book(n, witnesses), PATIENCE)
         return self
 
-    def owns(self, n, most):
+    def owns_current_book(self, n, most):
         found = self.custody(n)
         return any(
             b["book"] == found["current"]
@@ -65,9 +65,9 @@
         )
 
     def accept(self, n, count=1, cls="status", **more):
-        """Hand messages in that are to be taken on; their ids."""
+        """Hands in messages that must get a 202; returns their ids."""
         refs = []
-        more.setdefault("left", 15000)  # longer than a story takes
+        more.setdefault("left", 15000)  # longer than a test takes
         for _ in range(count):
             ref = f"{n}-{len(self.refs)}"
             self.refs.append(ref)
@@ -76,43 +76,44 @@
         return refs
 
     def lose_machines(self, *gone):
-        """Machines are lost, with their disks, at one moment."""
+        """Kills senders at one time and deletes their state folders."""
         for n in gone:
             self.senders[n].process.kill()
         for n in gone:
             self.senders[n].process.wait(harness.PATIENCE)
             shutil.rmtree(self.senders[n].state)
 
-    def said(self, n, text):
+    def log_lines(self, n, text):
         return [line for line in self.senders[n].lines if text in line]
 
-    def dropped(self, n):
-        """How many messages a sender says that others have now, in whatever books."""
-        lines = self.said(n, "are dropped here")
+    def dropped_messages(self, n):
+        """Returns how many messages a sender logs as dropped because another sender owns them, in all
+        books."""
+        lines = self.log_lines(n, "are dropped here")
         return sum(int(re.search(r"(\d+) messages and", line)[1]) for line in lines)
 
-    def once_each(self):
-        """Whether no book was taken over twice at one term."""
+    def one_owner_per_term(self):
+        """Whether some book was taken over, and none twice at one term."""
         found = [
             re.search(r"custody: (\S+) of .* at term (\d+)", line).groups() for _, line in self.takeovers()
         ]
         return len(found) == len(set(found)) > 0
 
     def takeovers(self):
-        """Who says that it took a book over."""
+        """Returns the log lines about books taken over, with their senders."""
         return [(n, line) for n, s in enumerate(self.senders) for line in s.lines if "taken over at" in line]
 
-    def delivered_once(self, refs):
+    def assert_delivered_once(self, refs):
         until(lambda: set(refs) <= set(self.host.refs()), PATIENCE)
         self.settle()
         assert sorted(self.host.refs()) == sorted(refs)
 
-    def joined_some(self, among):
-        """Wait until these know of each other."""
+    def wait_joined_some(self, among):
+        """Waits until these senders know each other."""
         until(lambda: all(self.alive_peers(n) >= len(among) - 1 for n in among), PATIENCE)
 
     def settle(self):
-        """Until nobody holds anything."""
+        """Waits until no sender holds a message."""
         until(
             lambda: not any(b["messages"] for n in self.running() for b in self.custody(n)["books"]), PATIENCE
         )
--- a/tests/test_replica_parts.py
+++ b/tests/test_replica_parts.py
@@ -1,4 +1,4 @@
-"""Custody's parts by tables: who may have a term, what a copy takes, what the folder keeps, who is where."""
+"""Unit tests of custody: granting terms, applying records to copies, storage, replica sets and placement."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from willownotch.links.transport import MAX_FRAME_BYTES
 from willownotch.peers.seal import Seal
 from willownotch.replica import copies, core, wire
-from willownotch.replica.books import Follower, Owned, Stage
+from willownotch.replica.books import Follower, OwnedBook, Stage
 from willownotch.replica.copies import Copy
 from willownotch.replica.placement import ranked, witnesses
 from willownotch.replica.settings import ReplicaSettings
 from willownotch.replica.store import Store
-from willownotch.replica.terms import Register
-from willownotch.replica.wire import START, Append, BookConfig, Claim, Granted, Refused
+from willownotch.replica.terms import TermRegister
+from willownotch.replica.wire import LOG_START, Append, BookConfig, Claim, Granted, Refused
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 CONFIG = BookConfig("a", 1, 1, ("b", "c"), ("b", "c", "d"))
 OTHER = BookConfig("b", 2, 0, (), ("b", "c", "d"))
 
 
-def taken(ref, body=b"x"):
+def accepted(ref, body=b"x"):
     ends_at = NOW + timedelta(seconds=20)
     return AcceptedMessage(ref, 7, "fee", "acme", ends_at, "k", body=body, custody=Custody("book", 1))
 
@@ -41,105 +41,106 @@
     ("steps", "wanted"),
     [
         ([(0.0, CONFIG, 1)], "granted"),
-        ([(0.0, CONFIG, 1), (0.5, OTHER, 2)], "refused"),  # the lease runs
+        ([(0.0, CONFIG, 1), (0.5, OTHER, 2)], "refused"),  # the lease is valid
         ([(0.0, CONFIG, 1), (1.1, OTHER, 2)], "granted"),  # it has run out
-        ([(0.0, CONFIG, 1), (1.1, OTHER, 1)], "refused"),  # one owner a term
-        ([(0.0, CONFIG, 1), (1.1, OTHER, 2), (1.2, CONFIG, 1)], "refused"),  # the old one is fenced
+        ([(0.0, CONFIG, 1), (1.1, OTHER, 1)], "refused"),  # one owner per term
+        ([(0.0, CONFIG, 1), (1.1, OTHER, 2), (1.2, CONFIG, 1)], "refused"),  # the old owner is fenced off
         ([(0.0, CONFIG, 1), (0.9, CONFIG, 1), (1.5, OTHER, 2)], "refused"),  # it was renewed
         ([(0.0, CONFIG, 1), (0.1, CONFIG, 1, True), (0.2, OTHER, 2)], "granted"),  # it was released
-        ([(0.0, CONFIG, 1), (0.1, CONFIG, 1, True, True), (5.0, OTHER, 2)], "refused"),  # it is over for good
-        ([(0.5, OTHER, 7)], "refused"),  # perhaps a grant was forgotten with the folder
+        ([(0.0, CONFIG, 1), (0.1, CONFIG, 1, True, True), (5.0, OTHER, 2)], "refused"),  # the book is closed
+        ([(0.5, OTHER, 7)], "refused"),  # a grant may have been lost with the folder
         ([(1.1, OTHER, 7)], "granted"),
     ],
 )
 def test_who_is_granted_a_term(steps, wanted):
-    register = Register(0.0, 1.0)
+    register = TermRegister(0.0, 1.0)
     for now, config, term, *more in steps:
         answer, _ = register.claim(now, claim(config, term, *more))
     assert isinstance(answer, Granted if wanted == "granted" else Refused)
 
 
-def test_a_witness_that_restarts_keeps_what_it_granted_and_lets_the_lease_run_out():
-    register = Register(0.0, 1.0)
+def test_a_restarted_witness_keeps_its_grants_and_waits_for_the_lease_to_end():
+    register = TermRegister(0.0, 1.0)
     _, kept = register.claim(0.0, claim(CONFIG, 3 - 2))
-    back = Register(10.0, 1.0)
+    back = TermRegister(10.0, 1.0)
     back.restore(kept)
     assert isinstance(back.claim(10.5, claim(OTHER, 2))[0], Refused)
     found, _ = back.claim(11.1, claim(OTHER, 2))
-    assert (found.version, found.replicas) == (1, ("b", "c"))  # of the owner before
+    assert (found.version, found.replicas) == (1, ("b", "c"))  # as recorded for the owner before
 
 
 def append(term, previous, *records):
     return Append("a", "book", term, previous, tuple(map(frame, records)), NOW)
 
 
-def test_a_copy_takes_what_follows_on_what_it_has_and_nothing_else():
+def test_a_copy_applies_only_records_that_follow_its_position():
     copy = Copy("book", CONFIG, 1)
-    first = append(1, START, taken("r1"), taken("r2"))
-    assert copy.matches(first) == 0
-    copy.take(first, 0)
+    first = append(1, LOG_START, accepted("r1"), accepted("r2"))
+    assert copy.count_held(first) == 0
+    copy.append(first, 0)
     assert copy.position == (1, 2)
-    assert copy.matches(first) == 2  # again: all of it is held
-    assert copy.matches(append(1, (1, 1), taken("r2"), taken("r3"))) == 1
-    assert copy.matches(append(1, (1, 3), taken("r4"))) is None  # one is missing
-    assert copy.matches(append(2, (1, 1), taken("x"))) is None  # another owner's log parts here
-    copy.take(append(1, (1, 2), MessageEnded("r1", "delivered")), 0)
+    assert copy.count_held(first) == 2  # a repeat: all of it is held
+    assert copy.count_held(append(1, (1, 1), accepted("r2"), accepted("r3"))) == 1
+    assert copy.count_held(append(1, (1, 3), accepted("r4"))) is None  # a record is missing in between
+    assert copy.count_held(append(2, (1, 1), accepted("x"))) is None  # the log of another owner diverges here
+    copy.append(append(1, (1, 2), MessageEnded("r1", "delivered")), 0)
     assert [entry.message.ref for _, entry in copy.entries()] == ["r2"]
 
 
-def test_a_fill_brings_only_ranges_that_differ_and_keeps_the_order():
+def test_a_fill_sends_only_ranges_that_differ_and_keeps_the_order():
     old, new = Copy("book", CONFIG, 1), Copy("book", CONFIG, 1)
-    old.take(append(1, START, *(taken(f"r{n}") for n in range(40))), 0)
-    new.take(
+    old.append(append(1, LOG_START, *(accepted(f"r{n}") for n in range(40))), 0)
+    new.append(
         append(
             1,
-            START,
-            *(taken(f"r{n}") for n in range(40)),
+            LOG_START,
+            *(accepted(f"r{n}") for n in range(40)),
             RelayStarted("r7", 0, NOW, "h"),
             MessageEnded("r9", "delivered"),
-            taken("r40"),
+            accepted("r40"),
         ),
         0,
     )
-    mine, theirs = copies.digests(new.entries()), copies.digests(old.entries())
-    ranges = sum(1 << n for n in range(copies.RANGES) if mine[n] != theirs[n])
+    mine, theirs = copies.range_digests(new.entries()), copies.range_digests(old.entries())
+    ranges = sum(1 << n for n in range(copies.RANGE_COUNT) if mine[n] != theirs[n])
     assert 0 < bin(ranges).count("1") <= 3
     wanted = [
         (order, copies.pack(e)) for order, e in new.entries() if ranges >> copies.range_of(e.message.ref) & 1
     ]
-    pieces = list(copies.parts(wanted))
+    pieces = list(copies.split_parts(wanted))
     for n, piece in enumerate(pieces):
-        last = old.fill(
+        last = old.add_fill_part(
             wire.Fill("a", "book", 1, new.position, old.position, ranges, n, len(pieces), piece, NOW, CONFIG)
         )
     assert last
-    assert copies.digests(old.entries()) == mine
+    assert copies.range_digests(old.entries()) == mine
     assert [e.message.ref for _, e in old.entries()] == [e.message.ref for _, e in new.entries()]
 
 
-def test_promises_need_their_copies_in_the_old_set_and_the_new_one():
-    book = Owned("book", 1, CONFIG, stage=Stage.OWNED, last=5)
+def test_promises_need_copies_in_both_the_old_and_the_new_set():
+    book = OwnedBook("book", 1, CONFIG, stage=Stage.OWNED, last=5)
     book.followers = {n: Follower(n, acked) for n, acked in (("b", 5), ("c", 2), ("d", 3))}
-    assert (book.reached(1), book.reached(2)) == (5, 2)
+    assert (book.copied_up_to(1), book.copied_up_to(2)) == (5, 2)
     book.propose(("c", "d"))
-    assert (book.reached(1), book.reached(2)) == (5, 2)  # it is still being filled
-    assert not book.ripe()  # and lacks what may have been promised without it
-    assert (book.reached(1), book.reached(2)) == (3, 2)
-    book.last = 9  # of these, nothing is promised without it
+    assert (book.copied_up_to(1), book.copied_up_to(2)) == (5, 2)  # the new set is still being filled
+    assert not book.proposal_ready()  # it may lack records that were promised without it
+    assert (book.copied_up_to(1), book.copied_up_to(2)) == (3, 2)
+    book.last = 9  # these are not promised without the new set
     for name in "cd":
         book.followers[name].acked = 5
-    assert book.ripe()
+    assert book.proposal_ready()
 
 
-def test_a_set_put_on_record_is_above_all_of_the_owners_before():
-    first = Owned("book", 3, CONFIG)
-    later = Owned("book", 4, msgspec.structs.replace(CONFIG, version=first.next_version() + 7))
+def test_a_new_replica_set_has_a_higher_version_than_all_owners_before():
+    first = OwnedBook("book", 3, CONFIG)
+    later = OwnedBook("book", 4, msgspec.structs.replace(CONFIG, version=first.next_version() + 7))
     assert first.next_version() > CONFIG.version
     assert later.next_version() > later.config.version
-    assert Owned("book", 4, CONFIG).next_version() > later.config.version  # who never heard of that one, too
+    # An owner that does not know the last version must exceed it as well.
+    assert OwnedBook("book", 4, CONFIG).next_version() > later.config.version
 
 
-def test_frames_of_another_kind_a_repeat_and_noise_are_refused():
+def test_frames_of_another_kind_repeats_and_damaged_frames_are_refused():
     keys = [(1, b"k" * 32)]
     one, other = (Seal(uid, keys, wire.decode, wire.VERSION, MAX_FRAME_BYTES) for uid in (1, 2))
     data = one.close(wire.Close("a", "book", 1))
@@ -157,15 +158,15 @@
     return store, said
 
 
-def test_the_folder_keeps_copies_terms_and_books_through_a_torn_tail(tmp_path):
+def test_the_store_keeps_copies_terms_and_books_despite_a_torn_tail(tmp_path):
     store, _ = make_store(tmp_path)
-    copy, term = Copy("book", CONFIG, 1), Register(0.0, 1.0).claim(0.0, claim(CONFIG, 1))[1]
-    first = append(1, START, taken("r1"), taken("r2"))
-    copy.take(first, 0)
-    assert store.keep([core.StoreTerm(term), core.StoreBook("own", CONFIG, 4), core.StoreCopy("book", copy)])
+    copy, term = Copy("book", CONFIG, 1), TermRegister(0.0, 1.0).claim(0.0, claim(CONFIG, 1))[1]
+    first = append(1, LOG_START, accepted("r1"), accepted("r2"))
+    copy.append(first, 0)
+    assert store.write([core.StoreTerm(term), core.StoreBook("own", CONFIG, 4), core.StoreCopy("book", copy)])
     more = append(1, (1, 2), RelayStarted("r2", 0, NOW, "h"))
-    copy.take(more, 0)
-    assert store.keep([core.StoreCopy("book", copy, more.frames, copy.position)])
+    copy.append(more, 0)
+    assert store.write([core.StoreCopy("book", copy, more.frames, copy.position)])
     with (tmp_path / "custody").open("ab") as file:
         file.write(b"wnC1\xff\xff")
     back, said = make_store(tmp_path)
@@ -177,44 +178,44 @@
     assert found.live["r2"].may_have_run(0)
 
 
-def test_a_copy_begun_and_added_to_in_one_round_is_written_once(tmp_path):
+def test_a_copy_created_and_appended_to_in_one_round_is_written_once(tmp_path):
     store, _ = make_store(tmp_path)
     copy = Copy("book", CONFIG, 1)
     begun = core.StoreCopy("book", copy)
-    more = append(1, START, taken("r1"), RelayStarted("r1", 0, NOW, "h"))
-    copy.take(more, 0)
-    assert store.keep([begun, core.StoreCopy("book", copy, more.frames, copy.position)])
+    more = append(1, LOG_START, accepted("r1"), RelayStarted("r1", 0, NOW, "h"))
+    copy.append(more, 0)
+    assert store.write([begun, core.StoreCopy("book", copy, more.frames, copy.position)])
     found = make_store(tmp_path)[0].copies["book"]
     assert found.position == (1, 2)
     assert found.live["r1"].may_have_run(0)
 
 
-def test_the_file_is_written_anew_when_most_of_it_is_over(tmp_path):
+def test_the_file_is_rewritten_when_most_of_it_is_obsolete(tmp_path):
     store, _ = make_store(tmp_path)
     copy = Copy("book", CONFIG, 1)
-    store.keep([core.StoreCopy("book", copy)])
+    store.write([core.StoreCopy("book", copy)])
     for n in range(300):
-        more = append(1, copy.position, taken(f"r{n}", b"x" * 1000), MessageEnded(f"r{n}", "delivered"))
-        copy.take(more, 0)
-        assert store.keep([core.StoreCopy("book", copy, more.frames, copy.position)])
-        assert (tmp_path / "custody").stat().st_size <= 2 * store.live + 80_000
+        more = append(1, copy.position, accepted(f"r{n}", b"x" * 1000), MessageEnded(f"r{n}", "delivered"))
+        copy.append(more, 0)
+        assert store.write([core.StoreCopy("book", copy, more.frames, copy.position)])
+        assert (tmp_path / "custody").stat().st_size <= 2 * store.live_bytes + 80_000
     assert make_store(tmp_path)[0].copies["book"].position == copy.position
 
 
-def test_without_room_or_with_a_failing_disk_nothing_is_kept_and_that_is_said(tmp_path):
+def test_without_space_or_with_a_failing_disk_nothing_is_stored_and_that_is_logged(tmp_path):
     store, _ = make_store(tmp_path, room=8192)
     copy = Copy("book", CONFIG, 1)
-    copy.take(append(1, START, taken("r1", b"x" * 20_000)), 0)
-    assert not store.keep([core.StoreCopy("book", copy)])
+    copy.append(append(1, LOG_START, accepted("r1", b"x" * 20_000)), 0)
+    assert not store.write([core.StoreCopy("book", copy)])
     (tmp_path / "two").mkdir()
     faults = []
     store, said = make_store(tmp_path / "two", Faulty(lambda: faults))
     faults += read_faults("no-space append custody*")
-    assert not store.keep([core.StoreBook("own", CONFIG, 1)])
+    assert not store.write([core.StoreBook("own", CONFIG, 1)])
     assert "could not be written" in said[-1]
 
 
-def test_members_that_come_and_go_move_only_their_part():
+def test_members_that_join_or_leave_move_only_their_share():
     names = [f"m{n}" for n in range(50)]
     for book in ("x", "y", "z"):
         before = ranked(book, names)[:3]
@@ -226,12 +227,12 @@
     assert witnesses("x", "m0", ["m1"], 5) == ("m1",)  # never the owner alone
 
 
-def test_a_process_that_stood_still_holds_nobody_for_silent():
+def test_a_paused_process_does_not_count_other_members_as_silent():
     custody = core.CustodyCore(
         "b", 2, ReplicaSettings(acks=1, lease=timedelta(seconds=1)), 0.0, Random(1), lambda book: (0, [])
     )
     custody.members(0.0, {"a": 1, "c": 3, "d": 4})
-    custody.receive(0.0, NOW, msgspec.structs.replace(append(1, START, taken("r1")), config=CONFIG))
+    custody.receive(0.0, NOW, msgspec.structs.replace(append(1, LOG_START, accepted("r1")), config=CONFIG))
     custody.members(0.1, {"c": 3, "d": 4})
     custody.tick(0.1, NOW)
     actions = custody.tick(30.0, NOW + timedelta(seconds=30))  # the deadline is past
--- a/tests/test_replica_sockets.py
+++ b/tests/test_replica_sockets.py
@@ -1,4 +1,4 @@
-"""Custody with real senders and faults between them: lost machines, stalls, cuts, old folders."""
+"""Custody with real sender processes and faults: lost machines, stalls, network cuts, outdated folders."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture
-def custodial(tmp_path):
+def make_fleet(tmp_path):
     made = []
 
     def make(number=5, **more):
@@ -28,32 +28,32 @@
         each.close()
 
 
-def test_a_machine_lost_right_after_its_202s_loses_nothing(custodial):
-    fleet = custodial()
+def test_a_machine_lost_right_after_its_202s_loses_no_message(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 8) + fleet.accept(1, 2)
     fleet.lose_machines(0)
     until(fleet.takeovers, PATIENCE)
     fleet.start_serving()
-    fleet.delivered_once(refs)
-    assert fleet.once_each()
+    fleet.assert_delivered_once(refs)
+    assert fleet.one_owner_per_term()
 
 
-def test_a_holder_that_was_stopped_past_its_lease_sends_nothing_and_says_so(custodial):
-    fleet = custodial()
+def test_an_owner_stopped_past_its_lease_sends_nothing_and_logs_it(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 5)
     fleet.senders[0].process.send_signal(signal.SIGSTOP)
     until(fleet.takeovers, PATIENCE)
     fleet.start_serving()
     until(lambda: len(fleet.host.calls) == len(refs), PATIENCE)
     fleet.senders[0].process.send_signal(signal.SIGCONT)
-    until(lambda: fleet.dropped(0) == 5, PATIENCE)
+    until(lambda: fleet.dropped_messages(0) == 5, PATIENCE)
     fleet.wait_ready([0])
-    fleet.delivered_once(refs)
+    fleet.assert_delivered_once(refs)
 
 
-def test_a_fee_that_may_have_run_is_never_sent_again_and_its_end_is_told(custodial):
-    fleet = custodial(serving=True)
-    fleet.host.held.clear()  # it answers nobody: the fee is out when its sender is lost
+def test_a_fee_that_may_have_run_is_never_sent_again_and_its_end_is_reported(make_fleet):
+    fleet = make_fleet(serving=True)
+    fleet.host.held.clear()  # no call is answered, so the fee's call is open when its sender is lost
     (ref,) = fleet.accept(0, cls="fee")
     until(lambda: fleet.host.refs() == [ref], PATIENCE)
     fleet.lose_machines(0)
@@ -63,8 +63,8 @@
     assert fleet.host.refs() == [ref]
 
 
-def test_messages_of_one_key_keep_their_order_over_a_take_over(custodial):
-    fleet = custodial()
+def test_messages_of_one_key_keep_their_order_after_a_takeover(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 5, cls="fee", key="quay-7")
     fleet.lose_machines(0)
     until(fleet.takeovers, PATIENCE)
@@ -73,11 +73,11 @@
     assert fleet.host.refs() == refs
 
 
-def test_a_lost_holders_unanswered_notice_is_owed_by_its_successor(custodial):
-    fleet = custodial()
+def test_a_new_owner_sends_the_unanswered_notices_of_a_lost_one(make_fleet):
+    fleet = make_fleet()
     fleet.discovery.ignores_notices = True
     (ref,) = fleet.accept(0, left=700)
-    until(lambda: fleet.said(0, "notice: not answered"), PATIENCE)
+    until(lambda: fleet.log_lines(0, "notice: not answered"), PATIENCE)
     until(lambda: not any(book["below"] for book in fleet.custody(0)["books"]), PATIENCE)
     fleet.lose_machines(0)
     until(fleet.takeovers, PATIENCE)
@@ -87,27 +87,27 @@
     assert {(n["message"], n["outcome"]) for n in fleet.discovery.notices} == {(ref, "given_up")}
 
 
-def test_a_cut_between_holder_and_the_others_leaves_one_that_acts(custodial):
-    fleet = custodial()
+def test_a_cut_between_the_owner_and_the_others_leaves_one_active_owner(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 4)
     fleet.relay.conditions = Conditions(cut=lambda a, b: (a == "i0") != (b == "i0"))
     until(fleet.takeovers, PATIENCE)
-    assert fleet.senders[0].hand_in()[1].status == 503  # it can promise nothing now
-    fleet.start_serving()  # the host can be reached by all
+    assert fleet.senders[0].hand_in()[1].status == 503  # it gets no copies now
+    fleet.start_serving()  # all senders can reach the host
     until(lambda: len(fleet.host.calls) == len(refs), PATIENCE)
     fleet.relay.conditions = Conditions()
-    until(lambda: fleet.dropped(0) == 4, PATIENCE)
+    until(lambda: fleet.dropped_messages(0) == 4, PATIENCE)
     fleet.wait_ready()
-    fleet.delivered_once(refs)
+    fleet.assert_delivered_once(refs)
 
 
-def test_where_acknowledgements_are_lost_one_way_nothing_is_promised_but_by_others(custodial):
-    fleet = custodial()
-    found = fleet.custody(0)  # of the current book alone: an older one may be about to be closed
+def test_without_acknowledgements_nothing_is_promised_until_other_replicas_are_found(make_fleet):
+    fleet = make_fleet()
+    found = fleet.custody(0)  # only the current book: an older one may be closing
     replicas = {r["name"] for b in found["books"] if b["book"] == found["current"] for r in b["replicas"]}
     fleet.relay.conditions = Conditions(cut=lambda a, b: a in replicas and b == "i0")
     assert fleet.senders[0].hand_in(ref="unheard")[1].status == 503
-    fleet.wait_ready([0], witnesses=3)  # it has found others
+    fleet.wait_ready([0], witnesses=3)  # it has found other replicas
     refs = fleet.accept(0, 3)
     fleet.lose_machines(0)
     fleet.relay.conditions = Conditions()
@@ -118,8 +118,8 @@
     assert sorted(ref for ref in fleet.host.refs() if ref != "unheard") == sorted(refs)
 
 
-def test_a_replica_that_is_back_with_an_old_folder_is_brought_up_to_date(custodial, tmp_path):
-    fleet = custodial(3)
+def test_a_replica_that_returns_with_an_old_folder_is_brought_up_to_date(make_fleet, tmp_path):
+    fleet = make_fleet(3)
     early = fleet.accept(0, 3, left=27000)
     old = fleet.senders[1]
     old.process.kill()
@@ -137,15 +137,15 @@
     fleet.register_address(1)
     fleet.wait_joined(PATIENCE)
     until(lambda: sum(c["messages"] for c in fleet.custody(1)["copies"] if c["sure"]) == 7, PATIENCE)
-    fleet.lose_machines(0, 2)  # what is left is the one with the old folder
+    fleet.lose_machines(0, 2)  # only the replica with the old folder is left
     fleet.start_serving()
     fleet.start_sender(2)
-    fleet.joined_some([1, 2])
-    fleet.delivered_once(early + late)
+    fleet.wait_joined_some([1, 2])
+    fleet.assert_delivered_once(early + late)
 
 
-def test_all_replicas_lost_with_the_holder_is_told_as_given_up(custodial):
-    fleet = custodial()
+def test_messages_lost_with_the_owner_and_all_replicas_are_reported_as_given_up(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 4, left=5000)
     found = fleet.custody(0)
     replicas = [int(r["name"][1:]) for b in found["books"] if b["messages"] for r in b["replicas"]]
@@ -157,17 +157,17 @@
     assert not fleet.host.calls
 
 
-def test_a_restarted_holder_goes_on_with_what_is_still_its_own(custodial):
-    fleet = custodial()
+def test_a_restarted_owner_goes_on_with_its_books(make_fleet):
+    fleet = make_fleet()
     refs = fleet.accept(0, 4)
     fleet.restart(0)
     until(fleet.takeovers, PATIENCE)
     fleet.start_serving()
-    fleet.delivered_once(refs)
+    fleet.assert_delivered_once(refs)
 
 
-def test_with_no_replica_that_answers_clients_are_turned_away_in_time(custodial):
-    fleet = custodial(3)
+def test_without_a_replica_that_answers_clients_are_rejected_in_time(make_fleet):
+    fleet = make_fleet(3)
     for n in (1, 2):
         fleet.senders[n].process.send_signal(signal.SIGSTOP)
     found = fleet.senders[0].hand_in()[1]
@@ -179,15 +179,15 @@
     fleet.accept(0)
 
 
-def test_a_class_with_no_acknowledgements_is_not_copied(custodial):
-    fleet = custodial(3, replica=" class status {\n acks 0\n }\n")
+def test_a_class_with_no_acknowledgements_is_not_copied(make_fleet):
+    fleet = make_fleet(3, replica=" class status {\n acks 0\n }\n")
     fleet.accept(0, 3)
     fleet.accept(0, 2, cls="order")
     assert sum(c["messages"] for c in fleet.custody(1)["copies"]) == 2
 
 
-def test_the_command_shows_what_is_held_and_for_whom(custodial):
-    fleet = custodial(3)
+def test_the_replica_command_lists_copies_and_their_books(make_fleet):
+    fleet = make_fleet(3)
     fleet.accept(0, 2)
     found = subprocess.run(
         [sys.executable, "-m", "willownotch", "replica", "--socket", str(fleet.socket(1))],
--- a/tests/test_replica_story.py
+++ b/tests/test_replica_story.py
@@ -1,4 +1,5 @@
-"""Custody as a state machine under any story: lost machines, stalls, cuts, restarts; and what must hold."""
+"""Custody in simulated time under drawn faults (lost machines, stalls, cuts, restarts), with its
+invariants."""
 
 from __future__ import annotations
 
@@ -165,30 +166,32 @@
     copies, wanted = 3, 2
 
 
-def test_replicas_that_hear_and_are_not_heard_keep_no_promise_waiting():
+def test_replicas_whose_acknowledgements_are_lost_delay_no_promise():
     fleet = Fleet(1, NAMES[:5], ReplicaSettings(copies=2, acks=2, witnesses=5, lease=timedelta(seconds=1)))
     fleet.until(lambda: fleet.ready(2))
     core = fleet.senders["m0"].core
     deaf = set(core.owned[core.current].config.replicas)
-    fleet.around = lambda observer, name: True  # the membership knows them by way of others
+    fleet.reaches_indirectly = (
+        lambda observer, name: True
+    )  # the membership hears of them through other members
     fleet.cut = lambda a, b: a in deaf and b == "m0"
-    fleet.run(3.0)  # until it has found others
-    for _ in range(1200):  # they are tried again several times
+    fleet.run(3.0)  # until it has found other replicas
+    for _ in range(1200):  # the unheard replicas are tried again several times
         fleet.run(0.05)
-        assert core.usable(2, fleet.now)
+        assert core.usable_book(2, fleet.now)
     fleet.cut = lambda a, b: False
-    fleet.until(lambda: len(core.owned[core.current].config.witnesses) == 5, most=60.0)
+    fleet.until(lambda: len(core.owned[core.current].config.witnesses) == 5, max_s=60.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_was_promised_a_moment_before_all_copies_were_lost_is_told_as_given_up(seed):
+def test_messages_promised_just_before_all_copies_are_lost_are_reported_as_given_up(seed):
     fleet = Fleet(seed, NAMES, ReplicaSettings(copies=2, acks=1, witnesses=5, lease=timedelta(seconds=1)))
     fleet.until(lambda: fleet.ready(1))
     sender = fleet.senders["m0"]
     gone = ["m0", *sender.core.owned[sender.core.current].config.replicas]
     fleet.run(1.0)
     for count in range(40):
-        if count == 20:  # the keepers of ids hear of none from here on
+        if count == 20:  # id holders receive no further ids
             fleet.cut = lambda a, b: a == "m0" and b not in gone
         sender.accept(f"r{count}", 1, 10.0)
         fleet.run(0.003, step=0.001)
@@ -200,27 +203,27 @@
     assert set(fleet.promised) <= set(fleet.expired)
 
 
-def test_a_promise_waits_for_no_keeper_of_ids_that_does_not_answer():
+def test_a_promise_does_not_wait_for_id_holders_that_do_not_answer():
     fleet = Fleet(1, NAMES, ReplicaSettings(copies=2, acks=1, witnesses=5, lease=timedelta(seconds=1)))
     fleet.until(lambda: fleet.ready(1))
     fleet.run(1.0)
     sender = fleet.senders["m0"]
-    keepers = set(sender.core._id_logs[sender.core.current].keepers)
-    assert len(keepers) == 2
-    fleet.around = lambda observer, name: True
-    fleet.cut = lambda a, b: a in keepers and b == "m0"
+    holders = set(sender.core._id_logs[sender.core.current].holders)
+    assert len(holders) == 2
+    fleet.reaches_indirectly = lambda observer, name: True
+    fleet.cut = lambda a, b: a in holders and b == "m0"
     sender.accept("r", 1, 10.0)
-    fleet.run(0.09, step=0.01)  # within half of the patience they are waited for
+    fleet.run(0.09, step=0.01)  # it waits for them for half of the patience
     assert not fleet.promised
     fleet.run(0.06, step=0.01)
     assert "r" in fleet.promised
     sender.accept("s", 1, 10.0)
-    fleet.run(0.02, step=0.01)  # by now it is known that they do not answer
+    fleet.run(0.02, step=0.01)  # they count as unresponsive now
     assert "s" in fleet.promised
 
 
 @pytest.mark.parametrize("story", [Story, Wider])
-def test_custody_under_any_story(story):
+def test_custody_invariants_under_drawn_faults(story):
     run_state_machine_as_test(
         story,
         settings=settings(
@@ -230,4 +233,4 @@
             derandomize=not LONG,
             phases=(Phase.explicit, Phase.generate),
         ),
-    )  # a story takes seconds: shrinking it, minutes
+    )  # one example takes seconds, so shrinking would take minutes
--- a/willownotch/replica/__init__.py
+++ b/willownotch/replica/__init__.py
@@ -1,8 +1,8 @@
-"""Replicated custody: what this sender holds is copied to others, and what others held is taken over.
+"""Replicated custody: copies this sender's messages to other senders, and takes over those of lost senders.
 
-In: records as the journal wrote them, who is there by the membership, frames of other senders, the time. Out:
-frames for other senders, what is to be kept in the folder, and decisions: copied often enough, taken over,
-lost to another. The core (`core`, `books`, `copies`, `taking`, `terms`, `placement`) opens no socket or file,
-reads no clock and draws nothing at random; `edge`, `store` and `service` do. It must not decide where or when
-a message is sent: who is its owner is decided here, all else by the decision module.
+Input: records written by the journal, the members that the membership lists, frames of other senders, the
+time. Output: frames for other senders, state to store, and decisions: copied often enough, taken over, lost
+to another owner. The core (`core`, `books`, `copies`, `ids`, `terms`, `placement`) opens no socket or file
+and reads no clock; its random numbers come from a generator passed in. `store` and `service` do the I/O. This
+package decides which sender owns a message; the decision module decides where and when the message is sent.
 """
--- a/willownotch/replica/books.py
+++ b/willownotch/replica/books.py
@@ -1,7 +1,7 @@
-"""A book that this sender owns, or claims: its lease, its replicas, what they have acknowledged. No I/O, no
-clock.
+"""A book that this sender owns or claims: its lease, its replicas, and what they have acknowledged.
 
-The records themselves are the journal's; here are only those that some replica has not acknowledged yet.
+The journal keeps the records; this module keeps only those that some replica has not acknowledged. Performs
+no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -13,263 +13,284 @@
 from enum import Enum
 
 from willownotch.replica.placement import majority
-from willownotch.replica.wire import START, BookConfig, Granted, Position, Refused
+from willownotch.replica.wire import LOG_START, BookConfig, Granted, Position, Refused
 
-DRIFT = 0.05  # how much two clocks may differ in speed
-WINDOW = 512 * 1024  # bytes on their way to a replica, unacknowledged
-BATCH = 64 * 1024  # bytes of records in one frame
-LOG_MOST = 2 * 1024 * 1024  # bytes kept for replicas that lag; who is further behind is filled
-TERM_SHIFT = 20  # a term's versions of the set of replicas begin at the term, shifted by so much
-RESEND, RESEND_MOST = 0.1, 1.0  # s without a word before something is sent again; doubles
-ROUNDS = 32  # rounds of claims whose grants still count
+MAX_CLOCK_DRIFT = 0.05  # share by which two clocks may differ in speed
+WINDOW_BYTES = 512 * 1024  # unacknowledged bytes in flight to a replica
+BATCH_BYTES = 64 * 1024  # records in one frame
+MAX_LOG_BYTES = 2 * 1024 * 1024  # kept for replicas that lag; one further behind is filled
+VERSION_TERM_SHIFT = 20  # replica set versions of a term start at term << shift
+MIN_RESEND_S, MAX_RESEND_S = 0.1, 1.0  # without an answer before a resend; doubles
+MAX_ROUNDS = 32  # latest claim rounds whose grants still count
 
 
-def resend_after(tries: int) -> float:
-    """Seconds to wait for an answer before the next try."""
-    return min(RESEND_MOST, RESEND * 2**tries)
+def resend_delay_s(tries: int) -> float:
+    """Returns the seconds to wait for an answer before the next try."""
+    return min(MAX_RESEND_S, MIN_RESEND_S * 2**tries)
 
 
 @dataclass(slots=True)
 class Follower:
-    """A replica as its owner knows it. `acked` is the number of a record; None until it has told where it
-    is."""
+    """A replica as its owner sees it. `acked` is a record number; None until the replica has reported its
+    position."""
 
     name: str
     acked: int | None = None
-    sent: int = 0  # up to this record
+    sent: int = 0  # last record sent
     sent_at: float = 0.0
     heard_at: float = 0.0
-    told: Position | None = None  # where it said it was when it could not follow
-    fill: deque = field(default_factory=deque)  # parts still to be sent
-    fill_at: int = 0  # the record that they bring it to
-    filled_at: float = 0.0  # the last part went out
+    reported_position: Position | None = None  # position reported when it could not apply records
+    pending_fill: deque = field(default_factory=deque)  # parts of a fill still to be sent
+    fill_target: int = 0  # record that the fill brings it to
+    fill_sent_at: float = 0.0  # when the last part was sent
     tries: int = 0
 
 
 @dataclass(slots=True)
-class Round:
-    """Claims that were sent to all witnesses at one moment."""
+class ClaimRound:
+    """Claims sent to all witnesses at one time."""
 
     sent_at: float
     version: int
     granted: set[str] = field(default_factory=set)
-    taken: set[str] = field(default_factory=set)  # witnesses that have given the term to another
-    refused: dict[str, tuple[str, int]] = field(default_factory=dict)  # by witness: who has it, by that one
+    granted_others: set[str] = field(
+        default_factory=set
+    )  # witnesses that granted this term or a higher one to others
+    refused: dict[str, tuple[str, int]] = field(
+        default_factory=dict
+    )  # by witness: the owner and process it named
 
 
 @dataclass(slots=True)
-class Answer:
-    """What a member holds of a book, as it comes in."""
+class FetchAnswer:
+    """What a member holds of a book, collected from its answer to a fetch."""
 
     position: Position
-    sure: bool
-    known: bool
+    confirmed: bool
+    has_copy: bool
     parts: int
-    ahead: timedelta = timedelta(0)  # this clock ahead of its, as little as was seen
-    got: dict[int, tuple[tuple[int, bytes], ...]] = field(default_factory=dict)
+    clock_offset: timedelta = timedelta(0)  # this clock minus the member's; smallest value seen
+    received_parts: dict[int, tuple[tuple[int, bytes], ...]] = field(default_factory=dict)
     refs: dict[str, int] = field(default_factory=dict)
 
-    def whole(self) -> bool:
-        """Whether all of it has come."""
-        return len(self.got) == self.parts
+    def is_complete(self) -> bool:
+        """Whether all parts have arrived."""
+        return len(self.received_parts) == self.parts
 
 
 class Stage(Enum):
-    """How far the ownership has come."""
+    """Stages of taking ownership."""
 
-    CLAIMING = "claiming"  # of a majority of the witnesses
-    FETCHING = "fetching"  # what the replicas hold: it was another's, or a former process's
-    ADOPTING = "adopting"  # into the journal
+    CLAIMING = "claiming"  # asking the witnesses, until a majority grants the term
+    FETCHING = "fetching"  # collecting the contents, if the book was another sender's or process's
+    ADOPTING = "adopting"  # writing the contents into the journal
     OWNED = "owned"
 
 
 @dataclass(slots=True)
-class Owned:
-    """A book at a term of this sender's own."""
+class OwnedBook:
+    """A book that this sender owns or claims, at one term."""
 
     book: str
     term: int
-    config: BookConfig  # as it is on record at a majority of witnesses, or will be by the first claim
-    base: Position = START  # where the log stood when the term began
-    last: int = 0  # the number of the last record
+    config: BookConfig  # as recorded by a majority of witnesses, or proposed by the first claim
+    base_position: Position = LOG_START  # position of the log when the term began
+    last: int = 0  # number of the last record
     stage: Stage = Stage.CLAIMING
     lease_until: float = 0.0
-    rounds: dict[int, Round] = field(default_factory=dict)
-    number: int = 0  # of the last round
-    claim_at: float = 0.0  # when the next one is due
-    proposed: tuple[str, ...] | None = None  # another set of replicas, being filled
-    joint_from: int | None = None  # behind this record a promise needs copies in the proposed set, too
-    offered: bool = False  # witnesses were asked to record the proposed set: some may have, so it stays
+    rounds: dict[int, ClaimRound] = field(default_factory=dict)
+    round_number: int = 0  # number of the last claim round
+    next_claim_at: float = 0.0  # when the next claim round is due
+    proposed: tuple[str, ...] | None = None  # another replica set, which is being filled
+    joint_after: int | None = None  # records behind this one also need copies in the proposed set
+    proposal_sent: bool = False  # some witnesses may have recorded the proposed set, so it is final
     followers: dict[str, Follower] = field(default_factory=dict)
-    log: dict[int, tuple[bytes, int]] = field(default_factory=dict)  # records, and bytes up to their ends
-    written: int = 0  # bytes of all records so far
-    open: dict[str, datetime] = field(default_factory=dict)  # ids that are owed an end, and their deadlines
-    about_at: float = -1e9  # when the replicas were last told what the book is
-    fresh: bool = True  # new messages may go into it
-    born: float = 0.0
-    answers: dict[str, Answer] = field(default_factory=dict)  # to a fetch
-    fetch_at: float = 0.0  # when those who have not answered are asked again
-    fetch_ends: float = 0.0
-    before: tuple[str, int] = ("", 0)  # who is known to have had it
-    contested: bool = False  # a witness has given a higher term to somebody who asked
-    set_at: float = -1e9  # when the witnesses were last asked to record another set of replicas
+    log: dict[int, tuple[bytes, int]] = field(
+        default_factory=dict
+    )  # records, and bytes of all up to and including each
+    bytes_written: int = 0  # bytes of all records so far, trimmed ones included
+    open: dict[str, datetime] = field(default_factory=dict)  # outstanding ids and their deadlines
+    config_sent_at: float = -1e9  # when `config` was last sent to the replicas
+    accepts_messages: bool = True  # new messages may go into it
+    created_at: float = 0.0
+    fetch_answers: dict[str, FetchAnswer] = field(default_factory=dict)  # by member
+    next_fetch_at: float = 0.0  # when members that have not answered are asked again
+    fetch_deadline: float = 0.0
+    former_owner: tuple[str, int] = ("", 0)  # last known owner and its process, before this one
+    contested: bool = False  # a witness granted this term or a higher one to another member
+    proposal_sent_at: float = -1e9  # when witnesses were last asked to record the proposed set
 
     def leased(self, now: float) -> bool:
-        """Whether the owner may act."""
+        """Whether the owner may act on the book at this time."""
         return self.stage is Stage.OWNED and now < self.lease_until
 
-    def sets(self) -> list[tuple[str, ...]]:
-        """The sets of replicas that each have to hold W copies.
+    def replica_sets(self) -> list[tuple[str, ...]]:
+        """Returns the replica sets that must each hold W copies.
 
-        A set that is still being filled is none of them: who does not answer there holds up no promise.
+        A set that is still being filled is left out, so that a member of it that does not answer delays no
+        promise.
         """
-        return [self.config.replicas] + ([self.proposed] if self.joint_from is not None else [])
+        return [self.config.replicas] + ([self.proposed] if self.joint_after is not None else [])
 
     def propose(self, names: tuple[str, ...] | None) -> None:
-        """Begin to fill another set of replicas, or (None) leave it at the one there is."""
-        self.proposed, self.joint_from, self.offered = names, None, False
+        """Starts filling another replica set, or (None) stays with the current one."""
+        self.proposed, self.joint_after, self.proposal_sent = names, None, False
 
-    def ripe(self) -> bool:
-        """Whether the proposed set may be put on record: it holds all that was promised, and always will.
+    def proposal_ready(self) -> bool:
+        """Whether the proposed set holds all promised messages, so that witnesses may record it.
 
-        Once all of it is filled, promises wait for both sets; once it holds what there was by then, nothing
-        that was promised is missing in it.
+        Once all its members are filled, promises wait for copies in both sets. Once it also holds the records
+        written up to that point, it lacks nothing that was promised.
         """
         if self.proposed is None:
             return False
         found = [self.followers.get(name) for name in self.proposed if name != self.config.owner]
-        if self.joint_from is None and all(
-            f is not None and f.acked is not None and not f.fill for f in found
+        if self.joint_after is None and all(
+            f is not None and f.acked is not None and not f.pending_fill for f in found
         ):
-            self.joint_from = self.last
-        return self.joint_from is not None and all(
-            f.acked is not None and f.acked >= self.joint_from for f in found
+            self.joint_after = self.last
+        return self.joint_after is not None and all(
+            f.acked is not None and f.acked >= self.joint_after for f in found
         )
 
     def next_version(self) -> int:
-        """Of a set that is put on record: above all of this owner's before, and of all owners before it."""
-        return max(self.config.version + 1, self.term << TERM_SHIFT)
-
-    def names(self) -> list[str]:
-        """All replicas, those that are being filled among them, the owner itself not."""
-        line = (*self.config.replicas, *(self.proposed or ()))
-        return list(dict.fromkeys(name for name in line if name != self.config.owner))
-
-    def reached(self, wanted: int) -> int:
-        """Up to which record there are so many copies, in each set; the owner's own counts in a set that it
-        is in."""
-        least = self.last
-        for line in self.sets():
+        """Returns the version for a new replica set: above all of this owner and of all owners before it."""
+        return max(self.config.version + 1, self.term << VERSION_TERM_SHIFT)
+
+    def replica_names(self) -> list[str]:
+        """Returns all replicas, including those being filled, without the owner."""
+        replicas = (*self.config.replicas, *(self.proposed or ()))
+        return list(dict.fromkeys(name for name in replicas if name != self.config.owner))
+
+    def copied_up_to(self, wanted: int) -> int:
+        """Returns the record up to which each replica set has `wanted` copies. The owner's own copy counts
+        only in a set that it belongs to."""
+        lowest = self.last
+        for replicas in self.replica_sets():
             acked = sorted(
-                (self.last if name == self.config.owner else self._acked(name) for name in line), reverse=True
+                (self.last if name == self.config.owner else self._acked(name) for name in replicas),
+                reverse=True,
             )
-            least = min(least, acked[wanted - 1] if len(acked) >= wanted else -1)
-        return least
+            lowest = min(lowest, acked[wanted - 1] if len(acked) >= wanted else -1)
+        return lowest
 
     def _acked(self, name: str) -> int:
         follower = self.followers.get(name)
         return -1 if follower is None or follower.acked is None else follower.acked
 
-    def able(self, now: float, wanted: int, silence: float) -> bool:
-        """Whether so many copies can be expected soon: the lease is held, and enough replicas answer."""
+    def can_replicate(self, now: float, wanted: int, silence: float) -> bool:
+        """Whether `wanted` copies can be expected soon: the lease is held, and enough replicas answered
+        within `silence` seconds."""
 
         def answers(name: str) -> bool:
             follower = self.followers.get(name)
             return name == self.config.owner or (
                 follower is not None
                 and follower.acked is not None
-                and not follower.fill
+                and not follower.pending_fill
                 and now - follower.heard_at < silence
             )
 
-        return self.leased(now) and all(sum(map(answers, line)) >= wanted for line in self.sets())
+        return self.leased(now) and all(
+            sum(map(answers, replicas)) >= wanted for replicas in self.replica_sets()
+        )
 
     def position(self, number: int) -> Position:
-        """The position of a record."""
-        return (self.term, number) if number > self.base[1] else self.base
+        """Returns the position of a record."""
+        return (self.term, number) if number > self.base_position[1] else self.base_position
 
-    def add(self, frames: Iterable[bytes]) -> None:
-        """Records that were written, in their order."""
+    def append_frames(self, frames: Iterable[bytes]) -> None:
+        """Appends written records, in order. Drops the oldest ones above `MAX_LOG_BYTES`."""
         for data in frames:
             self.last += 1
-            self.written += len(data)
-            self.log[self.last] = data, self.written
-        while self._kept() > LOG_MOST:
+            self.bytes_written += len(data)
+            self.log[self.last] = data, self.bytes_written
+        while self._log_bytes() > MAX_LOG_BYTES:
             del self.log[next(iter(self.log))]
 
-    def _kept(self) -> int:
-        """Bytes in the log."""
-        return self.written - self._before(next(iter(self.log)) - 1) if self.log else 0
+    def _log_bytes(self) -> int:
+        """Returns the bytes in the log."""
+        return self.bytes_written - self._bytes_up_to(next(iter(self.log)) - 1) if self.log else 0
 
-    def _before(self, number: int) -> int:
-        """Bytes of all records up to this one, as far as they are still here."""
+    def _bytes_up_to(self, number: int) -> int:
+        """Returns the bytes of all records up to this one, if the log still reaches it."""
         if number in self.log:
             return self.log[number][1]
         if number + 1 in self.log:
             data, end = self.log[number + 1]
             return end - len(data)
-        return self.written
+        return self.bytes_written
 
     def trim(self) -> None:
-        """Forget records that all replicas have acknowledged."""
-        least = min((self._acked(name) for name in self.names()), default=self.last)
-        while self.log and (first := next(iter(self.log))) <= least:
+        """Drops records that all replicas have acknowledged."""
+        lowest = min((self._acked(name) for name in self.replica_names()), default=self.last)
+        while self.log and (first := next(iter(self.log))) <= lowest:
             del self.log[first]
 
-    def covers(self, number: int) -> bool:
-        """Whether the records behind this one are still here."""
+    def has_records_after(self, number: int) -> bool:
+        """Whether the log still holds all records behind this one."""
         return number >= self.last or number + 1 in self.log
 
     def next_frames(self, follower: Follower) -> tuple[bytes, ...]:
-        """Records that go out to a replica now, as far as the window allows."""
-        if follower.acked is None or follower.fill or not self.covers(follower.sent):
+        """Returns the records to send to a replica now, within the window, and counts them as sent."""
+        if follower.acked is None or follower.pending_fill or not self.has_records_after(follower.sent):
             return ()
-        on_the_way = self._before(follower.sent) - self._before(follower.acked)
+        in_flight = self._bytes_up_to(follower.sent) - self._bytes_up_to(follower.acked)
         found, size = [], 0
         for number in range(follower.sent + 1, self.last + 1):
             data = self.log[number][0]
-            if size + len(data) > BATCH and found or on_the_way and on_the_way + size + len(data) > WINDOW:
+            if (
+                size + len(data) > BATCH_BYTES
+                and found
+                or in_flight
+                and in_flight + size + len(data) > WINDOW_BYTES
+            ):
                 break
             found.append(data)
             size += len(data)
         follower.sent += len(found)
         return tuple(found)
 
-    def granted(self, now: float, granted: Granted, span: float) -> bool:
-        """A witness's grant; whether the lease reaches further for it."""
-        found = self.rounds.get(granted.number)
+    def on_granted(self, now: float, granted: Granted, span: float) -> bool:
+        """Counts a witness's grant. Returns True if a majority has granted the round and its lease still
+        runs.
+
+        The lease counts from when the round was sent, shortened by the clock drift.
+        """
+        found = self.rounds.get(granted.round_number)
         if found is None or granted.term != self.term:
             return False
         found.granted.add(granted.source)
         if len(found.granted) < majority(len(self.config.witnesses)):
             return False
-        until = found.sent_at + span * (1 - DRIFT)
+        until = found.sent_at + span * (1 - MAX_CLOCK_DRIFT)
         self.lease_until = max(self.lease_until, until)
         return until > now
 
-    def refused(self, refused: Refused) -> tuple[str, int] | None:
-        """A witness's refusal; who has the book, once a majority names the same one.
+    def on_refused(self, refused: Refused) -> tuple[str, int] | None:
+        """Counts a witness's refusal. Returns the owner and process that a majority of witnesses names, or
+        None.
 
-        What one witness says shows only that somebody has asked it.
+        A single refusal shows only that another member asked that witness.
         """
-        found = self.rounds.get(refused.number)
-        if found is None or not refused.left_ms:  # whose lease is over may have let go of it
+        found = self.rounds.get(refused.round_number)
+        if found is None or not refused.left_ms:  # an owner whose lease has ended may have given up the book
             return None
-        found.refused[refused.source] = named = refused.owner, refused.life
+        found.refused[refused.source] = named = refused.owner, refused.uid
         agreed = list(found.refused.values()).count(named) >= majority(len(self.config.witnesses))
         return named if agreed else None
 
-    def hopeless(self, number: int) -> bool:
-        """Whether so many have given this term or a higher one to others that no majority is left."""
+    def majority_impossible(self, number: int) -> bool:
+        """Whether so many witnesses granted this term or a higher one to others that no majority is left."""
         found = self.rounds.get(number)
         return found is not None and (
-            len(found.taken) > len(self.config.witnesses) - majority(len(self.config.witnesses))
+            len(found.granted_others) > len(self.config.witnesses) - majority(len(self.config.witnesses))
         )
 
     def begin_round(self, now: float, version: int) -> int:
-        """Claims go out now."""
-        self.number += 1
-        self.rounds[self.number] = Round(now, version)
-        while len(self.rounds) > ROUNDS:
+        """Starts a round of claims; returns its number."""
+        self.round_number += 1
+        self.rounds[self.round_number] = ClaimRound(now, version)
+        while len(self.rounds) > MAX_ROUNDS:
             del self.rounds[next(iter(self.rounds))]
-        return self.number
+        return self.round_number
--- a/willownotch/replica/copies.py
+++ b/willownotch/replica/copies.py
@@ -1,6 +1,6 @@
-"""A copy of a book on a replica: the same records in the same order leave the same entries.
+"""A replica's copy of a book: the same records applied in the same order leave the same entries.
 
-No I/O, no clock.
+Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,27 +12,28 @@
 import msgspec
 
 from willownotch.journal.records import AcceptedMessage, Entry, RelayStarted, apply, frame, read_frames
-from willownotch.replica.wire import START, Append, BookConfig, Fill, Position
+from willownotch.replica.wire import LOG_START, Append, BookConfig, Fill, Position
 
-RANGES = 64
-PART = 48 * 1024  # bytes of entries in one frame
+RANGE_COUNT = 64  # hash ranges of ids that a fill compares
+MAX_PART_BYTES = 48 * 1024  # encoded entries in one frame
 NO_TIME = timedelta(0)
 
-Ordered = tuple[int, Entry]  # an entry, and its place in the book's order
+Ordered = tuple[int, Entry]  # an entry's place in the book's order, and the entry
 
 
 def range_of(ref: str) -> int:
-    """Which range of a book an id is in."""
+    """Returns the hash range that an id belongs to."""
     from xxhash import xxh64_intdigest
 
-    return xxh64_intdigest(ref.encode()) % RANGES
+    return xxh64_intdigest(ref.encode()) % RANGE_COUNT
 
 
-def digests(entries: Iterable[Ordered]) -> tuple[int, ...]:
-    """What each range holds, bodies but for their sizes left out: the holder may keep them elsewhere."""
+def range_digests(entries: Iterable[Ordered]) -> tuple[int, ...]:
+    """Returns a digest of each range. Of a body only its size counts, since members may store bodies
+    elsewhere."""
     from xxhash import xxh64_intdigest
 
-    found = [0] * RANGES
+    found = [0] * RANGE_COUNT
     for order, entry in entries:
         bare = msgspec.structs.replace(
             entry.message, body=b"", legacy_file=None, checksum=0, place=None, unkept=False
@@ -44,12 +45,12 @@
 
 
 def pack(entry: Entry) -> bytes:
-    """An entry's records as bytes."""
+    """Encodes an entry's records."""
     return b"".join(map(frame, entry.records()))
 
 
 def unpack(data: bytes) -> Entry | None:
-    """An entry from its records; None if there is none."""
+    """Decodes an entry from its records; returns None if they hold none."""
     live: dict[str, Entry] = {}
     for record in read_frames(data):
         if not isinstance(record, int):
@@ -57,12 +58,12 @@
     return next(iter(live.values()), None)
 
 
-def parts(entries: Iterable[tuple[int, bytes]]) -> Iterator[tuple[tuple[int, bytes], ...]]:
-    """In pieces of a frame each; at least one, which may be empty."""
+def split_parts(entries: Iterable[tuple[int, bytes]]) -> Iterator[tuple[tuple[int, bytes], ...]]:
+    """Splits entries into parts that fit one frame each. Yields at least one part, which may be empty."""
     part: list[tuple[int, bytes]] = []
     size = 0
     for order, data in entries:
-        if part and size + len(data) > PART:
+        if part and size + len(data) > MAX_PART_BYTES:
             yield tuple(part)
             part, size = [], 0
         part.append((order, data))
@@ -70,8 +71,8 @@
     yield tuple(part)
 
 
-def shifted(entry: Entry, by: timedelta) -> Entry:
-    """The same, in the times of another clock."""
+def shift_times(entry: Entry, by: timedelta) -> Entry:
+    """Returns the entry with all its times moved by `by`, into another member's clock."""
     message = entry.message
     message = msgspec.structs.replace(
         message, ends_at=message.ends_at + by, at=message.at and message.at + by
@@ -81,60 +82,62 @@
 
 
 @dataclass(slots=True)
-class Filling:
-    """Parts of a fill that have come."""
+class PartialFill:
+    """Parts of a fill received so far."""
 
     position: Position
-    told: Position
+    reported_position: Position
     ranges: int
     parts: int
-    got: dict[int, tuple[tuple[int, bytes], ...]] = field(default_factory=dict)
+    received_parts: dict[int, tuple[tuple[int, bytes], ...]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Copy:
-    """What a replica holds of a book. `term` is the highest one known: nothing of a lower one is taken."""
+    """What a replica holds of a book. `term` is the highest term known; frames of a lower one are refused."""
 
     book: str
     config: BookConfig
     term: int
-    position: Position = START
-    sure: bool = True  # an owner has confirmed the position since this process began
+    position: Position = LOG_START
+    confirmed: bool = True  # an owner has confirmed the position since this process started
     live: dict[str, Entry] = field(default_factory=dict)
     order: dict[str, int] = field(default_factory=dict)
-    ahead: timedelta | None = None  # this clock ahead of the owner's, as little as was ever seen
-    size: int = 0  # bytes of the entries, about
-    filling: Filling | None = None
+    clock_offset: timedelta | None = None  # this clock minus the owner's; smallest value seen
+    size: int = 0  # approximate bytes of the entries
+    partial_fill: PartialFill | None = None
     heard_at: float = 0.0
-    told: set[str] = field(default_factory=set)  # ends that were told for want of an owner
+    reported_refs: set[str] = field(default_factory=set)  # ids reported as given up while there was no owner
 
     def entries(self) -> list[Ordered]:
-        """In the book's order."""
+        """Returns the entries in the book's order."""
         return sorted(((self.order[ref], entry) for ref, entry in self.live.items()), key=lambda o: o[0])
 
-    def met(self, now: datetime, owners: datetime) -> None:
-        """A frame of the owner has come, which bears its present time."""
-        seen = now - owners
-        self.ahead = seen if self.ahead is None else min(self.ahead, seen)
+    def observe_clock(self, now: datetime, owner_time: datetime) -> None:
+        """Updates the clock offset from the owner's time in a received frame; the minimum has the least
+        delay."""
+        offset = now - owner_time
+        self.clock_offset = offset if self.clock_offset is None else min(self.clock_offset, offset)
 
-    def matches(self, append: Append) -> int | None:
-        """How many of these records are held already; None if they do not follow on what is held."""
+    def count_held(self, append: Append) -> int | None:
+        """Returns how many of the records are held already, or None if they do not follow the copy's
+        position."""
         if self.position == append.previous:
             return 0
         last = append.previous[1] + len(append.frames)
         if self.position[0] == append.term and append.previous[1] < self.position[1] <= last:
-            return self.position[1] - append.previous[1]  # in one term there is one log
+            return self.position[1] - append.previous[1]  # a term has a single log
         return None
 
-    def take(self, append: Append, held: int) -> None:
-        """Add those that are new."""
-        fresh = append.frames[held:]
-        if fresh:
-            self.add(fresh, (append.term, self.position[1] + len(fresh)))
-        self.sure = True
+    def append(self, append: Append, held: int) -> None:
+        """Applies the records behind the first `held`, and marks the copy as confirmed."""
+        new_frames = append.frames[held:]
+        if new_frames:
+            self.add_frames(new_frames, (append.term, self.position[1] + len(new_frames)))
+        self.confirmed = True
 
-    def add(self, frames: Iterable[bytes], position: Position) -> None:
-        """Records that bring the copy to a position."""
+    def add_frames(self, frames: Iterable[bytes], position: Position) -> None:
+        """Applies records that bring the copy to a position."""
         for data in frames:
             self.position = (position[0], self.position[1] + 1)
             for record in read_frames(data):
@@ -149,28 +152,35 @@
         elif record.ref not in self.live:
             self.order.pop(record.ref, None)
 
-    def fill(self, fill: Fill) -> bool:
-        """Take one part; whether that was the last one, and its position is held now."""
-        if fill.told != self.position:
+    def add_fill_part(self, fill: Fill) -> bool:
+        """Adds one part of a fill. Returns True once all parts are in and the copy is at the fill's
+        position."""
+        if fill.reported_position != self.position:
             return False
-        filling = self.filling
-        if filling is None or (filling.position, filling.ranges, filling.parts) != (
+        partial_fill = self.partial_fill
+        if partial_fill is None or (partial_fill.position, partial_fill.ranges, partial_fill.parts) != (
             fill.position,
             fill.ranges,
             fill.parts,
         ):
-            filling = self.filling = Filling(fill.position, fill.told, fill.ranges, fill.parts)
-        filling.got[fill.part] = fill.entries
-        if len(filling.got) < filling.parts:
+            partial_fill = self.partial_fill = PartialFill(
+                fill.position, fill.reported_position, fill.ranges, fill.parts
+            )
+        partial_fill.received_parts[fill.part] = fill.entries
+        if len(partial_fill.received_parts) < partial_fill.parts:
             return False
         for ref in [ref for ref in self.live if fill.ranges >> range_of(ref) & 1]:
             del self.live[ref], self.order[ref]
-        self.put(entry for part in sorted(filling.got) for entry in filling.got[part])
-        self.position, self.filling, self.sure = fill.position, None, True
+        self.put_entries(
+            entry
+            for part in sorted(partial_fill.received_parts)
+            for entry in partial_fill.received_parts[part]
+        )
+        self.position, self.partial_fill, self.confirmed = fill.position, None, True
         return True
 
-    def put(self, entries: Iterable[tuple[int, bytes]]) -> None:
-        """Entries with their places in the order."""
+    def put_entries(self, entries: Iterable[tuple[int, bytes]]) -> None:
+        """Adds encoded entries at their places in the order."""
         for order, data in entries:
             entry = unpack(data)
             if entry is not None:
--- a/willownotch/replica/core.py
+++ b/willownotch/replica/core.py
@@ -1,9 +1,9 @@
-"""Custody as a state machine: frames, records, members and a time in; frames and decisions out.
+"""Custody as a state machine: takes frames, records, members and the time; returns frames and decisions.
 
-No I/O, no clock. One core is all three parts that a sender plays: owner of books, replica of others' books,
-witness of terms.
+Performs no I/O and reads no clock. One core plays all the roles of a sender: owner of books, replica of other
+senders' books, witness of terms and holder of ids.
 Times named `now` are seconds on a monotonic clock; those named `wall` are the sender's own time of day, which
-need agree with nobody else's.
+need not agree with that of other senders.
 """
 
 from __future__ import annotations
@@ -17,25 +17,28 @@
 
 from willownotch.journal.records import Entry
 from willownotch.replica import copies, wire
-from willownotch.replica.books import RESEND, Answer, Follower, Owned, Stage, resend_after
+from willownotch.replica.books import MIN_RESEND_S, FetchAnswer, Follower, OwnedBook, Stage, resend_delay_s
 from willownotch.replica.copies import Copy, Ordered
-from willownotch.replica.ids import Ids, Index
+from willownotch.replica.ids import IdIndex, IdLog
 from willownotch.replica.placement import ranked, witness_count, witnesses
 from willownotch.replica.settings import ReplicaSettings
-from willownotch.replica.terms import Register, Term
-from willownotch.replica.wire import START, BookConfig
+from willownotch.replica.terms import Term, TermRegister
+from willownotch.replica.wire import LOG_START, BookConfig
 
-UNFIT_SPANS, UNFIT_MOST = 2, 30.0  # leases (s at the most) that who did not answer is not chosen for; doubles
-FILL_AGAIN = 1.0  # s after the last part, before a fill that nobody acknowledged begins anew
-KEEP_AFTER = 60.0  # s behind the last deadline in it that a copy nobody owns is kept
-KEEPERS = 2  # members without a copy that know a book's ids
-OVER_MOST = 256  # closed books that are remembered, for replicas that missed it
-STEP = 0.05  # s between two looks at what has no time of its own
+AVOID_LEASES, MAX_AVOID_S = (
+    2,
+    30.0,
+)  # leases that a silent member is not chosen for; doubles
+FILL_RETRY_S = 1.0  # from the last part to the restart of an unacknowledged fill
+ORPHAN_COPY_KEEP_S = 60.0  # that a copy without an owner is kept after its last deadline
+ID_HOLDER_COUNT = 2  # members without a copy that know a book's ids
+MAX_CLOSED_BOOKS = 256  # closed books remembered for replicas that missed the closing
+TICK_S = 0.05  # between two ticks
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A frame for a member."""
+    """Sends a frame to a member."""
 
     to: str
     message: wire.Message
@@ -43,24 +46,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreTerm:
-    """To be in the folder before what follows."""
+    """Stores a term before the actions that follow."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """The same, of a copy: these frames more, all of it (None), or that it is gone (`copy` None)."""
+    """Stores a copy: the appended `frames`, the whole copy (`frames` None), or its removal (`copy` None)."""
 
     book: str
     copy: Copy | None
     frames: tuple[bytes, ...] | None = None
-    position: wire.Position = START  # that these frames brought it to
+    position: wire.Position = LOG_START  # position that the frames bring the copy to
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBook:
-    """A book that this sender owns, or (None) no more."""
+    """Stores that this sender owns a book, or (`config` None) owns it no more."""
 
     book: str
     config: BookConfig | None
@@ -69,29 +72,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquired:
-    """A book is this sender's from now on; `adopted` follows once its entries are in the journal.
+    """This sender has become a book's owner; `on_adopted` is called once the entries are in the journal.
 
-    `answers` of `of` replicas told what they hold; `refs` are ids that were owed by what witnesses know, with
-    ms until their deadlines.
+    `replicas_answered` of `replicas_asked` replicas sent what they hold. `refs` are outstanding ids that id
+    holders know and no answer contains, with ms until their deadlines.
     """
 
     book: str
     term: int
-    last: int  # the number of the last record
+    last: int  # number of the last record
     entries: tuple[Ordered, ...]
     replicas_answered: int
     replicas_asked: int
     refs: dict[str, int]
-    previous_owner: str  # who had it
+    previous_owner: str
 
     def is_complete(self, wanted: int) -> bool:
-        """Whether all that has so many copies must be among what was told."""
+        """Whether the entries include every message that had `wanted` copies."""
         return self.replicas_answered >= self.replicas_asked - wanted + 1 and self.replicas_answered > 0
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """A book is another's: nothing in it may be sent or ended here."""
+    """Another member owns a book: this sender may not send or end its messages any more."""
 
     book: str
     term: int
@@ -100,7 +103,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """Nobody could be made owner in time: these are at their deadlines, and to be told as given up."""
+    """Messages that reached their deadlines while a book had no owner; they are to be reported as given
+    up."""
 
     book: str
     entries: tuple[Entry, ...]
@@ -108,216 +112,230 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """A line for the operators."""
+class Report:
+    """A log line for operators."""
 
     text: str
 
 
-Action = Send | StoreTerm | StoreCopy | StoreBook | Acquired | Lost | Expired | Say
-Snapshot = Callable[[str], tuple[int, list[tuple[int, Entry]]]]  # of a book: its last record, its entries
+Action = Send | StoreTerm | StoreCopy | StoreBook | Acquired | Lost | Expired | Report
+Snapshot = Callable[[str], tuple[int, list[tuple[int, Entry]]]]  # by book: number of its last record, entries
 
 
 class CustodyCore:
-    """One sender's part. `snapshot` tells what a book holds as its journal has it, whenever it is asked."""
+    """Custody of one sender. `snapshot` returns a book's content as the journal has it."""
 
     def __init__(
         self,
         name: str,
-        life: int,
+        uid: int,
         settings: ReplicaSettings,
         now: float,
         random: Random,
         snapshot: Snapshot,
-        room: int = 10**9,
+        max_copy_bytes: int = 10**9,
     ) -> None:
-        self.name, self.life, self.settings, self.random = name, life, settings, random
-        self.snapshot, self.room = snapshot, room
-        self.register = Register(now, self._span())
-        self.owned: dict[str, Owned] = {}
+        self.name, self.uid, self.settings, self.random = name, uid, settings, random
+        self.snapshot, self.max_copy_bytes = snapshot, max_copy_bytes
+        self.register = TermRegister(now, self._lease_s())
+        self.owned: dict[str, OwnedBook] = {}
         self.copies: dict[str, Copy] = {}
-        self.id_indexes: dict[str, Index] = {}
-        self.there: dict[str, int] = {}  # the others, by name, and their processes
-        self.current: str | None = None  # the book that new messages go into
+        self.id_indexes: dict[str, IdIndex] = {}
+        self.peers: dict[str, int] = {}  # other members by name, and their process ids
+        self.current: str | None = None  # the book for new messages
         self.now = now
         self._actions: list[Action] = []
-        self._count = 0  # of the books opened here
-        self._unfit: dict[str, float] = {}  # members, until when they are not chosen
-        self._silences: dict[str, int] = {}  # members, how often in a row that was so
-        self._try_at: dict[str, float] = {}  # of a book without an owner: when to claim it
-        self._terms: dict[str, int] = {}  # the highest term heard of, of books that are claimed
-        self._former: dict[str, tuple[BookConfig, int]] = {}  # books of this sender's former processes
-        self._told: dict[str, float] = {}  # of a copy, when its silent owner was last asked
-        self._id_logs: dict[str, Ids] = {}  # of the books that are owned: what is told to their keepers
-        self._full: dict[str, float] = {}  # books that there is no room for, until when
-        self._over: dict[str, None] = {}  # books that were closed here, the last ones
-        self._credit, self._credit_at = 0.0, now  # bytes of repair
-        self._desired: dict[str, tuple[tuple[str, ...], float]] = {}
+        self._book_count = 0  # books opened by this process
+        self._avoided_until: dict[str, float] = {}  # silent members, until when they are not chosen
+        self._silence_counts: dict[str, int] = {}  # by member, how often in a row it was silent
+        self._claim_times: dict[str, float] = {}  # by book without an owner, when to claim it
+        self._highest_terms: dict[str, int] = {}  # by book, the highest term known
+        self._former_books: dict[
+            str, tuple[BookConfig, int]
+        ] = {}  # books of this sender's former processes, terms
+        self._asked_at: dict[str, float] = {}  # by copy, when its silent owner was last asked
+        self._id_logs: dict[str, IdLog] = {}  # by owned book, for its id holders
+        self._full_until: dict[str, float] = {}  # books without space for a copy, until when
+        self._closed_books: dict[str, None] = {}  # books closed last by this sender
+        self._repair_credit, self._repair_credit_at = 0.0, now  # bytes that fills may send now
+        self._desired_replicas: dict[str, tuple[tuple[str, ...], float]] = {}
         self._stopping = False
-        self._ticked = now
+        self._ticked_at = now
 
-    def _span(self) -> float:
+    def _lease_s(self) -> float:
         return self.settings.lease.total_seconds()
 
-    # What is asked of it
+    # Queries
 
     def leased(self, book: str, now: float) -> bool:
-        """Whether this sender may act on a book now."""
+        """Whether this sender holds the lease of a book."""
         owned = self.owned.get(book)
         return owned is not None and owned.leased(now)
 
-    def reached(self, book: str, wanted: int) -> int:
-        """Up to which record so many copies are held."""
+    def copied_up_to(self, book: str, wanted: int) -> int:
+        """Returns the record up to which a book has `wanted` copies and an id holder knows its ids; -1: none.
+
+        Id holders that do not answer within half of the patience are not waited for.
+        """
         owned = self.owned.get(book)
         if owned is None:
             return -1
-        reached, ids = owned.reached(wanted), self._id_logs.get(book)
-        floor = ids.floor(self.now, self.settings.patience.total_seconds() / 2) if ids is not None else None
-        return reached if floor is None else min(reached, floor)
+        copied, ids = owned.copied_up_to(wanted), self._id_logs.get(book)
+        limit = (
+            ids.promise_limit(self.now, self.settings.patience.total_seconds() / 2)
+            if ids is not None
+            else None
+        )
+        return copied if limit is None else min(copied, limit)
 
-    def usable(self, wanted: int, now: float) -> str | None:
-        """The book that a new message may go into, if so many copies can be had."""
+    def usable_book(self, wanted: int, now: float) -> str | None:
+        """Returns the book for new messages if `wanted` copies can be expected, else None."""
         owned = self.owned.get(self.current or "")
-        return self.current if owned is not None and owned.able(now, wanted, self._span()) else None
+        return (
+            self.current if owned is not None and owned.can_replicate(now, wanted, self._lease_s()) else None
+        )
 
-    # What is fed to it
+    # Events
 
     def restore(
         self,
         terms: Iterable[Term],
         kept: Iterable[Copy],
         books: dict[str, tuple[BookConfig, int]],
-        owed: dict[str, dict[str, float]],
+        outstanding: dict[str, dict[str, float]],
     ) -> None:
-        """What the folder has. Copies are no answers to a fetch until an owner has confirmed them.
+        """Restores the stored state. Copies are unconfirmed until an owner has confirmed their positions.
 
-        `books` are those of former processes with this folder, `owed` their open ids, with the s left.
+        `books` belong to former processes with this folder; `outstanding` holds their outstanding ids, with
+        seconds until their deadlines.
         """
         for term in terms:
             self.register.restore(term)
         for copy in kept:
-            copy.sure, copy.heard_at = False, self.now
+            copy.confirmed, copy.heard_at = False, self.now
             self.copies[copy.book] = copy
-        self._former = dict(books)
+        self._former_books = dict(books)
         for book, (config, term) in books.items():
-            refs = {ref: self.now + left for ref, left in owed.get(book, {}).items()}
-            self.id_indexes[book] = Index(config, term, self.now, refs)
+            refs = {ref: self.now + left for ref, left in outstanding.get(book, {}).items()}
+            self.id_indexes[book] = IdIndex(config, term, self.now, refs)
 
-    def members(self, now: float, there: dict[str, int]) -> list[Action]:
-        """Who is there by the membership, this sender left out."""
+    def members(self, now: float, peers: dict[str, int]) -> list[Action]:
+        """Updates the members that the membership lists, without this sender."""
         self.now = max(self.now, now)
-        if there != self.there:
-            self.there = dict(there)
-            self._place()
-        return self._done()
+        if peers != self.peers:
+            self.peers = dict(peers)
+            self._update_placement()
+        return self._drain_actions()
 
-    def wrote(
-        self, now: float, book: str, frames: tuple[bytes, ...], opened: dict[str, datetime], over: list[str]
+    def on_written(
+        self, now: float, book: str, frames: tuple[bytes, ...], opened: dict[str, datetime], ended: list[str]
     ) -> list[Action]:
-        """Records of a book that the journal has taken: ids with their deadlines that are owed by them, and
-        ids that are over."""
+        """Replicates records of a book that the journal has written. `opened` are new outstanding ids with
+        their deadlines, `ended` the ids that ended."""
         self.now = max(self.now, now)
         owned = self.owned.get(book)
         if owned is None:
-            return self._done()
+            return self._drain_actions()
         before = owned.last
-        owned.add(frames)
+        owned.append_frames(frames)
         owned.open.update(opened)
-        for ref in over:
+        for ref in ended:
             owned.open.pop(ref, None)
-        for name in owned.names():
-            self._push(owned, name)
-        ids = self._id_logs.setdefault(book, Ids())
-        ids.note(opened, over)
+        for name in owned.replica_names():
+            self._send_records(owned, name)
+        ids = self._id_logs.setdefault(book, IdLog())
+        ids.note(opened, ended)
         if opened and owned.stage is Stage.OWNED:
             ids.flush(before)
-            self._tell(owned, ids)
-        return self._done()
+            self._send_id_changes(owned, ids)
+        return self._drain_actions()
 
-    def adopted(self, now: float, book: str, refs: dict[str, datetime]) -> list[Action]:
-        """The entries of a book that was won are in the journal, and go on from here."""
+    def on_adopted(self, now: float, book: str, refs: dict[str, datetime]) -> list[Action]:
+        """The entries of an acquired book are in the journal, so its ownership begins."""
         self.now = max(self.now, now)
         owned = self.owned.get(book)
         if owned is not None and owned.stage is Stage.ADOPTING:
             owned.stage = Stage.OWNED
             owned.open = dict(refs)
-            self._id_logs[book] = Ids(1)  # from here on; what was won is told as a whole
+            self._id_logs[book] = IdLog(1)  # id holders get the acquired ids as a whole list
             if book in self.copies:
                 self._drop_copy(book)
-            self._former.pop(book, None)
-            self._act(StoreBook(book, owned.config, owned.term))
-            self._place()
-        return self._done()
+            self._former_books.pop(book, None)
+            self._emit(StoreBook(book, owned.config, owned.term))
+            self._update_placement()
+        return self._drain_actions()
 
-    def declined(self, now: float, book: str) -> list[Action]:
-        """There is no room for a book that was won: somebody else is to have it."""
+    def on_adoption_declined(self, now: float, book: str) -> list[Action]:
+        """The journal has no space for an acquired book: releases it to other members."""
         self.now = max(self.now, now)
         owned = self.owned.get(book)
         if owned is not None:
-            self._disown(book)
+            self._drop_owned(book)
             self._claim(owned, release=True)
-            self._try_at[book] = self.now + 4 * self._span()
-        return self._done()
+            self._claim_times[book] = self.now + 4 * self._lease_s()
+        return self._drain_actions()
 
-    def unkept(self, now: float, book: str) -> list[Action]:
-        """A copy found no room in the folder: it is none, and not asked for again for a moment."""
+    def on_copy_not_stored(self, now: float, book: str) -> list[Action]:
+        """A copy could not be stored: drops it, and accepts no new one for one second."""
         self.now = max(self.now, now)
         if self.copies.pop(book, None) is not None:
-            self._full[book] = self.now + 1.0
-            self._act(StoreCopy(book, None))
-        return self._done()
+            self._full_until[book] = self.now + 1.0
+            self._emit(StoreCopy(book, None))
+        return self._drain_actions()
 
     def release(self, now: float) -> list[Action]:
-        """This sender ends, and acts no more: others need not wait for its leases."""
+        """Stops all activity and releases the leases, so that other members need not wait for them to end."""
         self.now, self._stopping = max(self.now, now), True
         for owned in self.owned.values():
             self._claim(owned, release=True)
             owned.lease_until = 0.0
-        return self._done()
+        return self._drain_actions()
 
     def tick(self, now: float, wall: datetime) -> list[Action]:
-        """Let time pass."""
+        """Does the periodic work."""
         self.now, self._wall = max(self.now, now), wall
         if not self._stopping:
-            if self.now - self._ticked > self._span() / 2:
-                self._woke()
-            if any(until <= self.now for until in self._unfit.values()):
-                self._unfit = {name: until for name, until in self._unfit.items() if until > self.now}
-                self._place()
+            if self.now - self._ticked_at > self._lease_s() / 2:
+                self._on_pause_ended()
+            if any(until <= self.now for until in self._avoided_until.values()):
+                self._avoided_until = {
+                    name: until for name, until in self._avoided_until.items() if until > self.now
+                }
+                self._update_placement()
             for owned in list(self.owned.values()):
-                self._keep_up(owned)
-            self._roll()
-            self._orphans()
+                self._maintain(owned)
+            self._choose_current_book()
+            self._claim_orphans()
             for owned in self.owned.values():
-                self._keep_ids(owned)
-        self._ticked = self.now
-        return self._done()
-
-    def _woke(self) -> None:
-        """This process stood still: that it heard nobody shows nothing of the others."""
-        for thing in (*self.copies.values(), *self.id_indexes.values()):
-            thing.heard_at = self.now
+                self._maintain_id_holders(owned)
+        self._ticked_at = self.now
+        return self._drain_actions()
+
+    def _on_pause_ended(self) -> None:
+        """After a pause of this process, its missed messages do not count as silence of other members."""
+        for item in (*self.copies.values(), *self.id_indexes.values()):
+            item.heard_at = self.now
         for owned in self.owned.values():
             for follower in owned.followers.values():
                 follower.heard_at = self.now
 
-    def due(self) -> float:
-        """When the next tick is wanted."""
-        return self.now + STEP
+    def next_tick_at(self) -> float:
+        """Returns the time of the next tick."""
+        return self.now + TICK_S
 
     def receive(self, now: float, wall: datetime, message: wire.Message) -> list[Action]:
-        """A frame of another member, found authentic by the transport."""
+        """Handles a frame of another member, authenticated by the transport."""
         self.now, self._wall = max(self.now, now), wall
         if not self._stopping:
             getattr(self, f"_on_{type(message).__name__.lower()}")(message)
-        return self._done()
+        return self._drain_actions()
 
     # As a witness
 
     def _on_claim(self, claim: wire.Claim) -> None:
         answer, keep = self.register.claim(self.now, claim)
         if keep is not None:
-            self._act(StoreTerm(keep))
+            self._emit(StoreTerm(keep))
         answer = msgspec.structs.replace(answer, source=self.name)
         if isinstance(answer, wire.Granted) and claim.source != self.name and claim.book in self.id_indexes:
             if claim.closed:
@@ -326,34 +344,35 @@
                 self.id_indexes[claim.book].heard_at = self.now
         self._send(claim.source, answer)
 
-    # As a keeper of ids
+    # As an id holder
 
     def _on_refs(self, refs: wire.Refs) -> None:
         index = self.id_indexes.get(refs.book)
         if index is not None and refs.term < index.term or refs.book in self.owned:
             return
-        if refs.after < 0 and refs.config is None:
+        if refs.after_step < 0 and refs.config is None:
             self.id_indexes.pop(refs.book, None)
             return
         if index is None or index.term < refs.term:
             if refs.config is None:
-                return self._send(refs.source, wire.Told(self.name, refs.book, refs.term, -1, True))
-            index = self.id_indexes[refs.book] = Index(refs.config, refs.term, self.now, {})
-        missed = index.take(self.now, refs.after, refs.step, refs.owed, refs.over)
-        self._send(refs.source, wire.Told(self.name, refs.book, refs.term, index.at, missed))
+                return self._send(refs.source, wire.RefsAcked(self.name, refs.book, refs.term, -1, True))
+            index = self.id_indexes[refs.book] = IdIndex(refs.config, refs.term, self.now, {})
+        missed = index.apply_step(self.now, refs.after_step, refs.step, refs.outstanding, refs.ended_refs)
+        self._send(refs.source, wire.RefsAcked(self.name, refs.book, refs.term, index.known_step, missed))
 
     # As a replica
 
-    def _owner_speaks(self, book: str, term: int, source: str) -> Copy | None:
-        """The copy that an owner's frame is for; None if its term is over, and it is told so."""
+    def _copy_for_owner(self, book: str, term: int, source: str) -> Copy | None:
+        """Returns the copy that an owner's frame is for. Returns None if there is no copy, or if the term has
+        ended; the sender of the frame is then told."""
         copy = self.copies.get(book)
         known, owned = copy.term if copy else 0, self.owned.get(book)
         if owned is not None and owned.stage is not Stage.CLAIMING:
             known = max(known, owned.term)
         if term < known:
-            self._send(source, wire.Higher(self.name, book, known))
+            self._send(source, wire.Superseded(self.name, book, known))
             return None
-        if owned is not None:  # who speaks as an owner was granted the term by a majority
+        if owned is not None:  # the sender of an owner's frame was granted the term by a majority
             if term >= owned.term:
                 self._lose(owned, term, source)
             elif owned.stage is not Stage.CLAIMING:
@@ -362,78 +381,84 @@
 
     def _on_append(self, append: wire.Append) -> None:
         known = self.copies.get(append.book)
-        copy = self._owner_speaks(append.book, append.term, append.source)
+        copy = self._copy_for_owner(append.book, append.term, append.source)
         if copy is None:
-            if known is not None or append.book in self.owned or self._full.get(append.book, 0.0) > self.now:
+            if (
+                known is not None
+                or append.book in self.owned
+                or self._full_until.get(append.book, 0.0) > self.now
+            ):
                 return
-            if append.previous != START or append.config is None:
-                self._send(append.source, wire.Behind(self.name, append.book, append.term, START, ()))
+            if append.previous != LOG_START or append.config is None:
+                self._send(append.source, wire.Behind(self.name, append.book, append.term, LOG_START, ()))
                 return
             copy = self.copies[append.book] = Copy(append.book, append.config, append.term)
-            self._act(StoreCopy(append.book, copy))
-        self._follow(copy, append.term, append.config, append.now)
-        held = copy.matches(append)
+            self._emit(StoreCopy(append.book, copy))
+        self._note_owner(copy, append.term, append.config, append.sender_time)
+        held = copy.count_held(append)
         if held is None:
             if copy.position[0] != append.term or copy.position[1] < append.previous[1]:
-                self._behind(copy, append.source)
-            else:  # an old one, overtaken
+                self._send_behind(copy, append.source)
+            else:  # a late message; newer records are held
                 self._send(append.source, wire.Acked(self.name, append.book, append.term, copy.position))
             return
-        if sum(c.size for c in self.copies.values()) + sum(map(len, append.frames)) > self.room:
-            self._say_full(append.book)
+        if sum(c.size for c in self.copies.values()) + sum(map(len, append.frames)) > self.max_copy_bytes:
+            self._report_full(append.book)
             return
         fresh = append.frames[held:]
-        copy.take(append, held)
+        copy.append(append, held)
         if fresh:
-            self._act(StoreCopy(append.book, copy, fresh, copy.position))
+            self._emit(StoreCopy(append.book, copy, fresh, copy.position))
         self._send(append.source, wire.Acked(self.name, append.book, append.term, copy.position))
 
-    def _follow(self, copy: Copy, term: int, config: BookConfig | None, owners: datetime) -> None:
-        """An owner has spoken at a term that holds."""
+    def _note_owner(self, copy: Copy, term: int, config: BookConfig | None, owner_time: datetime) -> None:
+        """Records a frame from the owner at a current term."""
         changed = term > copy.term or (config is not None and config != copy.config)
         if term > copy.term:
-            copy.filling, copy.ahead = None, None
+            copy.partial_fill, copy.clock_offset = None, None
         copy.term, copy.config = term, config or copy.config
-        copy.met(self._wall, owners)
+        copy.observe_clock(self._wall, owner_time)
         copy.heard_at = self.now
-        self._try_at.pop(copy.book, None)
+        self._claim_times.pop(copy.book, None)
         if changed:
-            self._act(StoreCopy(copy.book, copy))
+            self._emit(StoreCopy(copy.book, copy))
 
-    def _say_full(self, book: str) -> None:
-        if self._full.get(book, 0.0) <= self.now:
-            self._act(Say(f"copies use up their room of {self.room} bytes: {book} is not copied here"))
-        self._full[book] = self.now + 1.0
+    def _report_full(self, book: str) -> None:
+        if self._full_until.get(book, 0.0) <= self.now:
+            self._emit(
+                Report(f"copies use all of their {self.max_copy_bytes} bytes: {book} is not replicated here")
+            )
+        self._full_until[book] = self.now + 1.0
 
-    def _behind(self, copy: Copy, source: str) -> None:
+    def _send_behind(self, copy: Copy, source: str) -> None:
         self._send(
             source,
-            wire.Behind(self.name, copy.book, copy.term, copy.position, copies.digests(copy.entries())),
+            wire.Behind(self.name, copy.book, copy.term, copy.position, copies.range_digests(copy.entries())),
         )
 
     def _on_fill(self, fill: wire.Fill) -> None:
         known = self.copies.get(fill.book)
-        copy = self._owner_speaks(fill.book, fill.term, fill.source)
+        copy = self._copy_for_owner(fill.book, fill.term, fill.source)
         if copy is None:
             if known is not None or fill.book in self.owned:
                 return
-            if self._full.get(fill.book, 0.0) > self.now:
+            if self._full_until.get(fill.book, 0.0) > self.now:
                 return
-            copy = self.copies[fill.book] = Copy(fill.book, fill.config, fill.term, sure=False)
+            copy = self.copies[fill.book] = Copy(fill.book, fill.config, fill.term, confirmed=False)
         size = sum(len(data) for _, data in fill.entries)
-        if sum(c.size for c in self.copies.values()) + size > self.room:
-            self._say_full(fill.book)
+        if sum(c.size for c in self.copies.values()) + size > self.max_copy_bytes:
+            self._report_full(fill.book)
             return
-        self._follow(copy, fill.term, fill.config, fill.now)
-        if copy.fill(fill):
-            self._act(StoreCopy(fill.book, copy))
+        self._note_owner(copy, fill.term, fill.config, fill.sender_time)
+        if copy.add_fill_part(fill):
+            self._emit(StoreCopy(fill.book, copy))
             self._send(fill.source, wire.Acked(self.name, fill.book, fill.term, copy.position))
-        elif fill.told != copy.position and fill.part + 1 == fill.parts:
-            self._behind(copy, fill.source)
+        elif fill.reported_position != copy.position and fill.part + 1 == fill.parts:
+            self._send_behind(copy, fill.source)
 
     def _on_fetch(self, fetch: wire.Fetch) -> None:
         known = self.copies.get(fetch.book)
-        copy = self._owner_speaks(fetch.book, fetch.term, fetch.source)
+        copy = self._copy_for_owner(fetch.book, fetch.term, fetch.source)
         if (copy is None and known is not None) or fetch.book in self.owned:
             return
         index = self.id_indexes.get(fetch.book)
@@ -441,23 +466,25 @@
         if copy is None:
             self._send(
                 fetch.source,
-                wire.Held(self.name, fetch.book, fetch.term, START, False, False, 0, 1, (), self._wall, refs),
+                wire.Contents(
+                    self.name, fetch.book, fetch.term, LOG_START, False, False, 0, 1, (), self._wall, refs
+                ),
             )
             return
-        if fetch.term > copy.term:  # from here on nothing of a lower term is taken
-            copy.term, copy.filling = fetch.term, None
-            self._act(StoreCopy(copy.book, copy))
+        if fetch.term > copy.term:  # nothing of a lower term is accepted from here on
+            copy.term, copy.partial_fill = fetch.term, None
+            self._emit(StoreCopy(copy.book, copy))
         copy.heard_at = self.now
-        pieces = list(copies.parts(self._packed(copy)))
+        pieces = list(copies.split_parts(self._packed(copy)))
         for n, piece in enumerate(pieces):
             self._send(
                 fetch.source,
-                wire.Held(
+                wire.Contents(
                     self.name,
                     copy.book,
                     fetch.term,
                     copy.position,
-                    copy.sure,
+                    copy.confirmed,
                     True,
                     n,
                     len(pieces),
@@ -469,9 +496,9 @@
 
     @staticmethod
     def _packed(copy: Copy) -> list[tuple[int, bytes]]:
-        """Entries with their times by this sender's clock, told as the time that is left would be."""
-        by = copy.ahead or copies.NO_TIME
-        return [(order, copies.pack(copies.shifted(entry, by))) for order, entry in copy.entries()]
+        """Returns a copy's entries, encoded, with their times converted to this sender's clock."""
+        by = copy.clock_offset or copies.NO_TIME
+        return [(order, copies.pack(copies.shift_times(entry, by))) for order, entry in copy.entries()]
 
     def _on_close(self, close: wire.Close) -> None:
         copy = self.copies.get(close.book)
@@ -480,7 +507,7 @@
 
     def _drop_copy(self, book: str) -> None:
         del self.copies[book]
-        self._act(StoreCopy(book, None))
+        self._emit(StoreCopy(book, None))
 
     # As an owner
 
@@ -488,100 +515,106 @@
         owned = self.owned.get(granted.book)
         if owned is None or granted.term != owned.term:
             return
-        found = owned.rounds.get(granted.number)
+        found = owned.rounds.get(granted.round_number)
         if granted.version > owned.config.version and owned.stage is Stage.CLAIMING:
             owned.config = msgspec.structs.replace(
                 owned.config, version=granted.version, replicas=granted.replicas
             )
-        if not owned.granted(self.now, granted, self._span()):
+        if not owned.on_granted(self.now, granted, self._lease_s()):
             return
         if owned.stage is Stage.CLAIMING:
-            self._try_at.pop(owned.book, None)
-            if owned.book in self.copies or owned.base != START or owned.term > 1 or not owned.fresh:
+            self._claim_times.pop(owned.book, None)
+            if (
+                owned.book in self.copies
+                or owned.base_position != LOG_START
+                or owned.term > 1
+                or not owned.accepts_messages
+            ):
                 self._begin_fetch(owned)
             else:
                 owned.stage = Stage.OWNED
-                self._act(StoreBook(owned.book, owned.config, owned.term))
-                for name in owned.names():
+                self._emit(StoreBook(owned.book, owned.config, owned.term))
+                for name in owned.replica_names():
                     self._follower(owned, name)
                     self._probe(owned, name)
         elif owned.proposed is not None and found is not None and found.version > owned.config.version:
-            self._commit_set(owned, found.version)
+            self._commit_replicas(owned, found.version)
 
     def _on_refused(self, refused: wire.Refused) -> None:
         book, owned = refused.book, self.owned.get(refused.book)
-        self._terms[book] = max(self._terms.get(book, 0), refused.term)
+        self._highest_terms[book] = max(self._highest_terms.get(book, 0), refused.term)
         if owned is None:
             return
-        named = owned.refused(refused)
-        # A refusal may come late: who has the term by now is not lost to who had a lower one before.
+        named = owned.on_refused(refused)
+        # A late refusal may name the owner of a lower term than the one granted here since.
         late = owned.stage is not Stage.CLAIMING and refused.term <= owned.term
-        other = named is not None and named not in (owned.before, (self.name, self.life)) and not late
+        other = named is not None and named not in (owned.former_owner, (self.name, self.uid)) and not late
         if other and owned.stage is Stage.OWNED and not refused.closed:
-            return self._claim_anew(owned)  # unless that one holds on to it
+            return self._reclaim(owned)  # the claim fails if that member keeps the lease
         if refused.closed or other:
             self._lose(owned, refused.term, refused.owner)
-            return self._believe(book, refused)
-        if refused.term >= owned.term and (refused.owner, refused.life) != (self.name, self.life):
+            return self._record_new_owner(book, refused)
+        if refused.term >= owned.term and (refused.owner, refused.uid) != (self.name, self.uid):
             owned.contested = True
-            if refused.number in owned.rounds:
-                owned.rounds[refused.number].taken.add(refused.source)
-            if owned.stage is Stage.CLAIMING and owned.hopeless(refused.number):
-                self._stand_back(owned, refused.left_ms / 1000)
+            if refused.round_number in owned.rounds:
+                owned.rounds[refused.round_number].granted_others.add(refused.source)
+            if owned.stage is Stage.CLAIMING and owned.majority_impossible(refused.round_number):
+                self._withdraw_claim(owned, refused.left_ms / 1000)
             elif (
                 owned.stage is Stage.OWNED
-                and owned.hopeless(refused.number)
-                and (self.now > owned.lease_until + self._span())
+                and owned.majority_impossible(refused.round_number)
+                and (self.now > owned.lease_until + self._lease_s())
             ):
-                self._claim_anew(owned)
+                self._reclaim(owned)
         elif owned.stage is Stage.CLAIMING and refused.left_ms:
-            wait = min(refused.left_ms / 1000, self._span())
-            owned.claim_at = max(owned.claim_at, self.now + wait)
+            wait = min(refused.left_ms / 1000, self._lease_s())
+            owned.next_claim_at = max(owned.next_claim_at, self.now + wait)
 
-    def _claim_anew(self, owned: Owned) -> None:
-        """While this owner was not heard others asked for its book, so it has its witnesses no more.
+    def _reclaim(self, owned: OwnedBook) -> None:
+        """Claims a book again whose witnesses granted others a claim while this owner was cut off.
 
-        It is claimed like anybody's: somebody may own it, or have owned it, so the copies tell how it stands.
+        Another member may own it or have owned it, so it is claimed like any book without an owner, and its
+        content is fetched from the copies.
         """
         self._lose(owned, owned.term, self.name)
         refs = {ref: self.now + (at - self._wall).total_seconds() for ref, at in owned.open.items()}
-        self._former[owned.book] = owned.config, owned.term
-        self.id_indexes[owned.book] = Index(owned.config, owned.term, self.now, refs)
-        self._act(StoreBook(owned.book, owned.config, owned.term))
+        self._former_books[owned.book] = owned.config, owned.term
+        self.id_indexes[owned.book] = IdIndex(owned.config, owned.term, self.now, refs)
+        self._emit(StoreBook(owned.book, owned.config, owned.term))
 
-    def _stand_back(self, owned: Owned, wait: float) -> None:
-        """Claims came to nothing: let others have what was granted, and try again later."""
+    def _withdraw_claim(self, owned: OwnedBook, wait: float) -> None:
+        """Gives up a claim: releases what witnesses granted, and tries again later."""
         self._claim(owned, release=True)
-        self._disown(owned.book)
-        self._try_at[owned.book] = self.now + wait + self._pause()
+        self._drop_owned(owned.book)
+        self._claim_times[owned.book] = self.now + wait + self._random_pause()
 
-    def _believe(self, book: str, refused: wire.Refused) -> None:
-        """A book's owner is another by now."""
+    def _record_new_owner(self, book: str, refused: wire.Refused) -> None:
+        """Records the owner that a refusal names."""
         for table in (self.copies, self.id_indexes):
             if book in table:
                 table[book].config = msgspec.structs.replace(
-                    table[book].config, owner=refused.owner, life=refused.life
+                    table[book].config, owner=refused.owner, uid=refused.uid
                 )
         if refused.closed and book in self.copies:
             self._drop_copy(book)
 
-    def _on_higher(self, higher: wire.Higher) -> None:
-        owned = self.owned.get(higher.book)
-        if owned is not None and higher.term > owned.term:
-            self._lose(owned, higher.term, higher.source)
-        copy = self.copies.get(higher.book)
-        if copy is not None and copy.config.owner == higher.source:  # it is no owner any more
-            copy.config = msgspec.structs.replace(copy.config, owner="", life=0)
-
-    def _lose(self, owned: Owned, term: int, owner: str) -> None:
-        self._disown(owned.book)
-        self._terms[owned.book] = max(self._terms.get(owned.book, 0), term)
+    def _on_superseded(self, superseded: wire.Superseded) -> None:
+        owned = self.owned.get(superseded.book)
+        if owned is not None and superseded.term > owned.term:
+            self._lose(owned, superseded.term, superseded.source)
+        copy = self.copies.get(superseded.book)
+        if copy is not None and copy.config.owner == superseded.source:  # it owns the book no more
+            copy.config = msgspec.structs.replace(copy.config, owner="", uid=0)
+
+    def _lose(self, owned: OwnedBook, term: int, owner: str) -> None:
+        self._drop_owned(owned.book)
+        self._highest_terms[owned.book] = max(self._highest_terms.get(owned.book, 0), term)
         if self.current == owned.book:
             self.current = None
-        if self._former.pop(owned.book, None) is not None:
+        if self._former_books.pop(owned.book, None) is not None:
             self.id_indexes.pop(owned.book, None)
-        self._act(StoreBook(owned.book, None))
-        self._act(Lost(owned.book, term, owner))
+        self._emit(StoreBook(owned.book, None))
+        self._emit(Lost(owned.book, term, owner))
 
     def _on_acked(self, acked: wire.Acked) -> None:
         owned = self.owned.get(acked.book)
@@ -589,59 +622,59 @@
         if follower is None or acked.term != owned.term:
             return
         if acked.position != owned.position(acked.position[1]) or (
-            acked.position[1] > max(owned.last, follower.fill_at)
+            acked.position[1] > max(owned.last, follower.fill_target)
         ):
-            return  # elsewhere: it will say that it is behind
+            return  # another log; the replica will report its position
         follower.heard_at, follower.tries = self.now, 0
-        self._silences.pop(follower.name, None)
-        if self._unfit.pop(follower.name, None) is not None:
-            self._place()
+        self._silence_counts.pop(follower.name, None)
+        if self._avoided_until.pop(follower.name, None) is not None:
+            self._update_placement()
         follower.acked = max(follower.acked or 0, acked.position[1])
-        if follower.fill and follower.acked >= follower.fill_at:
-            follower.fill.clear()
+        if follower.pending_fill and follower.acked >= follower.fill_target:
+            follower.pending_fill.clear()
         follower.sent = max(follower.sent, follower.acked)
         owned.trim()
-        self._push(owned, acked.source)
+        self._send_records(owned, acked.source)
 
     def _on_behind(self, behind: wire.Behind) -> None:
         owned = self.owned.get(behind.book)
-        if owned is None or owned.stage is not Stage.OWNED or behind.source not in owned.names():
-            if behind.book in self._over or (owned is not None and owned.stage is Stage.OWNED):
+        if owned is None or owned.stage is not Stage.OWNED or behind.source not in owned.replica_names():
+            if behind.book in self._closed_books or (owned is not None and owned.stage is Stage.OWNED):
                 term = owned.term if owned is not None else behind.term
                 self._send(behind.source, wire.Close(self.name, behind.book, term))
-            elif owned is None and behind.book not in self._former:
-                term = max(behind.term, self._terms.get(behind.book, 0))
-                self._send(behind.source, wire.Higher(self.name, behind.book, term))
+            elif owned is None and behind.book not in self._former_books:
+                term = max(behind.term, self._highest_terms.get(behind.book, 0))
+                self._send(behind.source, wire.Superseded(self.name, behind.book, term))
             return
         follower = self._follower(owned, behind.source)
         follower.heard_at = self.now
         position = behind.position
-        ours = position == owned.position(position[1]) and owned.base[1] <= position[1] <= owned.last
-        if ours and owned.covers(position[1]):
+        ours = position == owned.position(position[1]) and owned.base_position[1] <= position[1] <= owned.last
+        if ours and owned.has_records_after(position[1]):
             follower.acked = follower.sent = position[1]
-            follower.fill.clear()
-            self._push(owned, behind.source)
-        elif not follower.fill or follower.told != position:
-            if follower.told == position and self.now - follower.filled_at < FILL_AGAIN:
+            follower.pending_fill.clear()
+            self._send_records(owned, behind.source)
+        elif not follower.pending_fill or follower.reported_position != position:
+            if follower.reported_position == position and self.now - follower.fill_sent_at < FILL_RETRY_S:
                 return
             self._begin_fill(owned, follower, behind)
 
-    def _begin_fill(self, owned: Owned, follower: Follower, behind: wire.Behind) -> None:
-        """Bring a replica to where the book is now, by the ranges that differ."""
-        last, entries = self.snapshot(owned.book)  # the journal may be ahead of what was told here
-        mine = copies.digests(entries)
-        theirs = behind.digests or (0,) * copies.RANGES
-        ranges = sum(1 << n for n in range(copies.RANGES) if mine[n] != theirs[n])
+    def _begin_fill(self, owned: OwnedBook, follower: Follower, behind: wire.Behind) -> None:
+        """Starts to send a replica the ranges that differ, as the book is now."""
+        last, entries = self.snapshot(owned.book)  # the journal may be ahead of the core
+        mine = copies.range_digests(entries)
+        theirs = behind.digests or (0,) * copies.RANGE_COUNT
+        ranges = sum(1 << n for n in range(copies.RANGE_COUNT) if mine[n] != theirs[n])
         wanted = [
             (order, copies.pack(entry))
             for order, entry in entries
             if ranges >> copies.range_of(entry.message.ref) & 1
         ]
-        pieces = list(copies.parts(wanted))
-        follower.acked, follower.told, follower.fill_at = None, behind.position, last
-        follower.fill.clear()
+        pieces = list(copies.split_parts(wanted))
+        follower.acked, follower.reported_position, follower.fill_target = None, behind.position, last
+        follower.pending_fill.clear()
         for n, piece in enumerate(pieces):
-            follower.fill.append(
+            follower.pending_fill.append(
                 wire.Fill(
                     self.name,
                     owned.book,
@@ -656,28 +689,30 @@
                     owned.config,
                 )
             )
-        self._pour(owned, follower)
+        self._send_fill_parts(owned, follower)
 
-    def _pour(self, owned: Owned, follower: Follower) -> None:
-        """Send parts of a fill, as the rate allows."""
+    def _send_fill_parts(self, owned: OwnedBook, follower: Follower) -> None:
+        """Sends parts of a fill within the repair rate."""
         rate = self.settings.rate
-        self._credit = min(float(rate), self._credit + (self.now - self._credit_at) * rate)
-        self._credit_at = self.now
-        while follower.fill and self._credit > 0:
-            part = follower.fill.popleft()
-            self._credit -= sum(len(data) + 16 for _, data in part.entries) + 200
-            self._send(follower.name, msgspec.structs.replace(part, now=self._wall))
-            follower.filled_at = follower.sent_at = self.now
-            follower.sent = follower.fill_at
-
-    def _follower(self, owned: Owned, name: str) -> Follower:
+        self._repair_credit = min(
+            float(rate), self._repair_credit + (self.now - self._repair_credit_at) * rate
+        )
+        self._repair_credit_at = self.now
+        while follower.pending_fill and self._repair_credit > 0:
+            part = follower.pending_fill.popleft()
+            self._repair_credit -= sum(len(data) + 16 for _, data in part.entries) + 200
+            self._send(follower.name, msgspec.structs.replace(part, sender_time=self._wall))
+            follower.fill_sent_at = follower.sent_at = self.now
+            follower.sent = follower.fill_target
+
+    def _follower(self, owned: OwnedBook, name: str) -> Follower:
         follower = owned.followers.get(name)
         if follower is None:
             follower = owned.followers[name] = Follower(name, heard_at=self.now)
         return follower
 
-    def _push(self, owned: Owned, name: str) -> None:
-        """Send a replica what it has not been sent yet."""
+    def _send_records(self, owned: OwnedBook, name: str) -> None:
+        """Sends a replica the records that it has not been sent, within the window."""
         follower = owned.followers.get(name)
         if follower is None or owned.stage is not Stage.OWNED:
             return
@@ -686,9 +721,11 @@
             frames = owned.next_frames(follower)
             if not frames:
                 return
-            self._append(owned, follower, before, frames)
+            self._send_append(owned, follower, before, frames)
 
-    def _append(self, owned: Owned, follower: Follower, before: int, frames: tuple[bytes, ...]) -> None:
+    def _send_append(
+        self, owned: OwnedBook, follower: Follower, before: int, frames: tuple[bytes, ...]
+    ) -> None:
         follower.sent_at = self.now
         config = owned.config if not before or not frames else None
         self._send(
@@ -698,86 +735,93 @@
             ),
         )
 
-    def _probe(self, owned: Owned, name: str) -> None:
-        """Ask a replica where it is; it is told that the owner lives by the same."""
+    def _probe(self, owned: OwnedBook, name: str) -> None:
+        """Asks a replica for its position; this also shows the replica that the owner is alive."""
         follower = self._follower(owned, name)
-        self._append(owned, follower, follower.sent if follower.acked is not None else owned.last, ())
+        self._send_append(owned, follower, follower.sent if follower.acked is not None else owned.last, ())
 
-    def _keep_up(self, owned: Owned) -> None:
-        """Renew the lease, and see to replicas that lag or are silent."""
-        if owned.claim_at <= self.now:
+    def _maintain(self, owned: OwnedBook) -> None:
+        """Renews the lease, resends to replicas that lag, and replaces silent ones."""
+        if owned.next_claim_at <= self.now:
             self._claim(owned)
         if owned.stage is Stage.FETCHING:
             self._fetch_on(owned)
         if owned.stage is not Stage.OWNED:
             return
-        for name in owned.names():
+        for name in owned.replica_names():
             follower = self._follower(owned, name)
-            if follower.fill:
-                self._pour(owned, follower)
+            if follower.pending_fill:
+                self._send_fill_parts(owned, follower)
                 continue
             lags = follower.acked is None or follower.acked < owned.last
-            wait = resend_after(follower.tries) if lags else self._span() / 3
+            wait = resend_delay_s(follower.tries) if lags else self._lease_s() / 3
             if self.now - max(follower.sent_at, follower.heard_at if lags else 0.0) >= wait:
                 follower.tries = min(follower.tries + 1, 8) if lags else 0
                 if follower.acked is not None:
                     follower.sent = follower.acked
-                    self._push(owned, name)
+                    self._send_records(owned, name)
                 if follower.acked is None or not lags or follower.sent == follower.acked:
                     self._probe(owned, name)
-            silent = self.now - follower.heard_at > max(1.0, self._span())
-            if silent and name in self.there and name not in self._unfit:
-                times = self._silences[name] = min(self._silences.get(name, 0) + 1, 8)
-                self._unfit[name] = self.now + min(UNFIT_MOST, UNFIT_SPANS * self._span() * 2 ** (times - 1))
-                self._place()
-        self._change_set(owned)
-        if not owned.open and not owned.fresh and owned.proposed is None:
+            silent = self.now - follower.heard_at > max(1.0, self._lease_s())
+            if silent and name in self.peers and name not in self._avoided_until:
+                times = self._silence_counts[name] = min(self._silence_counts.get(name, 0) + 1, 8)
+                self._avoided_until[name] = self.now + min(
+                    MAX_AVOID_S, AVOID_LEASES * self._lease_s() * 2 ** (times - 1)
+                )
+                self._update_placement()
+        self._change_replicas(owned)
+        if not owned.open and not owned.accepts_messages and owned.proposed is None:
             self._close(owned)
 
-    def _close(self, owned: Owned) -> None:
-        """A book that is empty and no longer written to."""
+    def _close(self, owned: OwnedBook) -> None:
+        """Closes a book that is empty and takes no more messages."""
         self._claim(owned, release=True, closed=True)
-        for name in owned.names():
+        for name in owned.replica_names():
             self._send(name, wire.Close(self.name, owned.book, owned.term))
-        self._let_keepers_go(owned, self._id_logs.get(owned.book, Ids()).keepers)
-        self._disown(owned.book)
-        self._over[owned.book] = None
-        while len(self._over) > OVER_MOST:
-            del self._over[next(iter(self._over))]
-        self._act(StoreBook(owned.book, None))
+        self._dismiss_id_holders(owned, self._id_logs.get(owned.book, IdLog()).holders)
+        self._drop_owned(owned.book)
+        self._closed_books[owned.book] = None
+        while len(self._closed_books) > MAX_CLOSED_BOOKS:
+            del self._closed_books[next(iter(self._closed_books))]
+        self._emit(StoreBook(owned.book, None))
+
+    # Replica sets
 
-    # Sets of replicas
+    def _eligible(self) -> list[str]:
+        return [name for name in self.peers if name not in self._avoided_until]
 
-    def _fit(self) -> list[str]:
-        return [name for name in self.there if name not in self._unfit]
+    def _update_placement(self) -> None:
+        """Chooses the replicas of each book after members joined, left or changed their state.
 
-    def _place(self) -> None:
-        """Who is to hold each book, now that members came or went."""
-        names = self._fit()
+        A change waits for half a lease unless a current replica is gone.
+        """
+        names = self._eligible()
         for owned in self.owned.values():
             wanted = tuple(ranked(owned.book, names)[: self.settings.copies])
-            known = self._desired.get(owned.book)
+            known = self._desired_replicas.get(owned.book)
             if wanted and (known is None or known[0] != wanted):
                 gone = any(name not in names for name in owned.config.replicas)
-                self._desired[owned.book] = wanted, self.now + (0.0 if gone else self._span() / 2)
+                self._desired_replicas[owned.book] = wanted, self.now + (0.0 if gone else self._lease_s() / 2)
 
-    def _change_set(self, owned: Owned) -> None:
-        wanted, at = self._desired.get(owned.book, (owned.config.replicas, 0.0))
+    def _change_replicas(self, owned: OwnedBook) -> None:
+        wanted, at = self._desired_replicas.get(owned.book, (owned.config.replicas, 0.0))
         if (
             wanted
             and at <= self.now
-            and not owned.offered
+            and not owned.proposal_sent
             and set(wanted) != set(owned.proposed or owned.config.replicas)
         ):
             owned.propose(wanted if set(wanted) != set(owned.config.replicas) else None)
             for name in owned.proposed or ():
                 self._probe(owned, name)
-        if (owned.offered or owned.ripe()) and self.now - owned.set_at >= RESEND:
-            owned.set_at, owned.offered = self.now, True
+        if (
+            owned.proposal_sent or owned.proposal_ready()
+        ) and self.now - owned.proposal_sent_at >= MIN_RESEND_S:
+            owned.proposal_sent_at, owned.proposal_sent = self.now, True
             self._claim(owned)
 
-    def _commit_set(self, owned: Owned, version: int) -> None:
-        """The witnesses have the new set on record."""
+    def _commit_replicas(self, owned: OwnedBook, version: int) -> None:
+        """Switches to the new replica set, which a majority of witnesses has recorded."""
         old = owned.config.replicas
         owned.config = msgspec.structs.replace(owned.config, version=version, replicas=owned.proposed)
         owned.propose(None)
@@ -785,73 +829,80 @@
             if name not in owned.config.replicas and name != self.name:
                 owned.followers.pop(name, None)
                 self._send(name, wire.Close(self.name, owned.book, owned.term))
-        self._act(StoreBook(owned.book, owned.config, owned.term))
+        self._emit(StoreBook(owned.book, owned.config, owned.term))
         for name in owned.config.replicas:
             self._probe(owned, name)
 
-    def _roll(self) -> None:
-        """See that there is a book for new messages whose witnesses are there, as many as there can be."""
-        names = self._fit()
+    def _choose_current_book(self) -> None:
+        """Keeps a book for new messages whose witnesses are all present, as many as the membership allows."""
+        names = self._eligible()
         if not names:
             return
         current = self.owned.get(self.current or "")
-        pending = next((o for o in self.owned.values() if o.fresh and o is not current), None)
-        if pending is not None and pending.stage is Stage.OWNED and not self._worse(pending, current):
+        pending = next((o for o in self.owned.values() if o.accepts_messages and o is not current), None)
+        if (
+            pending is not None
+            and pending.stage is Stage.OWNED
+            and not self._less_replicated(pending, current)
+        ):
             if current is not None:
-                current.fresh = False
+                current.accepts_messages = False
             self.current, current, pending = pending.book, pending, None
         if pending is not None:
-            if self.now - pending.born < 2 * self._span():
+            if self.now - pending.created_at < 2 * self._lease_s():
                 return
             if pending.stage is Stage.OWNED:
-                pending.fresh = False  # its replicas do not answer; it is empty, and will be closed
+                pending.accepts_messages = (
+                    False  # its replicas do not answer; it is closed, since it is empty
+                )
             else:
-                self._disown(pending.book)  # its claims came to nothing
+                self._drop_owned(pending.book)  # no majority granted its claims
         if current is not None:
-            here = sum(name in names or name == self.name for name in current.config.witnesses)
-            could = witness_count(len(names) + 1, self.settings.witnesses)
-            sound = here == len(current.config.witnesses) >= could and not current.contested
-            if sound or self.now - current.born < self._span():
+            present = sum(name in names or name == self.name for name in current.config.witnesses)
+            possible = witness_count(len(names) + 1, self.settings.witnesses)
+            healthy = present == len(current.config.witnesses) >= possible and not current.contested
+            if healthy or self.now - current.created_at < self._lease_s():
                 return
-        self._open(names)
+        self._open_book(names)
 
-    def _worse(self, pending: Owned, current: Owned | None) -> bool:
-        """Whether a new book cannot yet have the copies that the current one can."""
+    def _less_replicated(self, pending: OwnedBook, current: OwnedBook | None) -> bool:
+        """Whether the pending book cannot have as many copies yet as the current one."""
         return current is not None and any(
-            current.able(self.now, wanted, self._span()) and not pending.able(self.now, wanted, self._span())
-            for wanted in self.settings.asked()
+            current.can_replicate(self.now, wanted, self._lease_s())
+            and not pending.can_replicate(self.now, wanted, self._lease_s())
+            for wanted in self.settings.ack_levels()
         )
 
-    def _open(self, names: list[str]) -> None:
-        self._count += 1
-        book = f"{self.name}/{self.life:012x}.{self._count}"
+    def _open_book(self, names: list[str]) -> None:
+        self._book_count += 1
+        book = f"{self.name}/{self.uid:012x}.{self._book_count}"
         config = BookConfig(
             self.name,
-            self.life,
+            self.uid,
             1,
             tuple(ranked(book, names)[: self.settings.copies]),
             witnesses(book, self.name, names, self.settings.witnesses),
         )
-        owned = self.owned[book] = Owned(book, 1, config, born=self.now)
+        owned = self.owned[book] = OwnedBook(book, 1, config, created_at=self.now)
         self._claim(owned)
 
     # Claims
 
-    def _pause(self) -> float:
-        return self.random.uniform(0.1, 0.5) * self._span()
+    def _random_pause(self) -> float:
+        return self.random.uniform(0.1, 0.5) * self._lease_s()
 
-    def _claim(self, owned: Owned, release: bool = False, closed: bool = False) -> None:
-        """Ask all witnesses for the term, again and again for as long as the book is owned."""
+    def _claim(self, owned: OwnedBook, release: bool = False, closed: bool = False) -> None:
+        """Sends a round of claims to all witnesses; repeated for as long as the book is owned."""
         held = self.now < owned.lease_until
-        owned.claim_at = self.now + (self._span() / 3 if held else min(0.2, self._span() / 3))
+        owned.next_claim_at = self.now + (self._lease_s() / 3 if held else min(0.2, self._lease_s() / 3))
         config = owned.config
-        if owned.stage is Stage.OWNED and owned.offered:
+        if owned.stage is Stage.OWNED and owned.proposal_sent:
             config = msgspec.structs.replace(config, version=owned.next_version(), replicas=owned.proposed)
-        elif owned.stage is not Stage.OWNED and not owned.fresh:
+        elif owned.stage is not Stage.OWNED and not owned.accepts_messages:
             config = msgspec.structs.replace(config, version=0, replicas=())
         number = owned.begin_round(self.now, config.version)
         claim = wire.Claim(
-            self.name, owned.book, owned.term, config, round(self._span() * 1000), number, release, closed
+            self.name, owned.book, owned.term, config, round(self._lease_s() * 1000), number, release, closed
         )
         for name in owned.config.witnesses:
             if name == self.name:
@@ -859,245 +910,288 @@
             else:
                 self._send(name, claim)
 
-    def _orphans(self) -> None:
-        """Claim books whose owner is gone, and tell the ends that nobody will."""
+    def _claim_orphans(self) -> None:
+        """Claims books whose owner is gone, and reports messages that expire while there is none."""
         for owned in list(self.owned.values()):
             known = self.copies.get(owned.book) or self.id_indexes.get(owned.book)
-            back = known is None or self.there.get(known.config.owner) == known.config.life
-            if owned.stage is Stage.CLAIMING and not owned.fresh and back and owned.book not in self._former:
-                self._stand_back(owned, 0.0)  # its owner is there after all
-        for book, (config, term) in list(self._former.items()):
-            self._stand(book, config, term, 0)
+            owner_back = known is None or self.peers.get(known.config.owner) == known.config.uid
+            if (
+                owned.stage is Stage.CLAIMING
+                and not owned.accepts_messages
+                and owner_back
+                and owned.book not in self._former_books
+            ):
+                self._withdraw_claim(owned, 0.0)  # its owner is back
+        for book, (config, term) in list(self._former_books.items()):
+            self._claim_in_turn(book, config, term, 0)
         for book, copy in list(self.copies.items()):
             config, silent = copy.config, self.now - copy.heard_at
-            if silent > KEEP_AFTER and self._left(copy) < -KEEP_AFTER:
+            if silent > ORPHAN_COPY_KEEP_S and self._time_left(copy) < -ORPHAN_COPY_KEEP_S:
                 self._drop_copy(book)
-            elif self.there.get(config.owner) == config.life:
+            elif self.peers.get(config.owner) == config.uid:
                 self._ask_silent(copy)
-            elif copy.live and silent > self._span() / 2:
-                line = [name for name in config.replicas if name in self.there or name == self.name]
-                self._stand(
-                    book, config, copy.term, line.index(self.name) if self.name in line else len(line)
+            elif copy.live and silent > self._lease_s() / 2:
+                candidates = [name for name in config.replicas if name in self.peers or name == self.name]
+                self._claim_in_turn(
+                    book,
+                    config,
+                    copy.term,
+                    candidates.index(self.name) if self.name in candidates else len(candidates),
                 )
-                if silent > self._span():
+                if silent > self._lease_s():
                     self._expire_copy(copy)
         for book, index in list(self.id_indexes.items()):
             config, silent = index.config, self.now - index.heard_at
-            if self.there.get(config.owner) == config.life or book in self.copies:
+            if self.peers.get(config.owner) == config.uid or book in self.copies:
                 continue
-            if not index.refs and book not in self._former:
+            if not index.refs and book not in self._former_books:
                 del self.id_indexes[book]
                 continue
-            if silent > self._span() and not any(name in self.there for name in config.replicas):
-                line = sorted(config.witnesses)
-                self._stand(
-                    book, config, index.term, 1 + (line.index(self.name) if self.name in line else len(line))
+            if silent > self._lease_s() and not any(name in self.peers for name in config.replicas):
+                candidates = sorted(config.witnesses)
+                self._claim_in_turn(
+                    book,
+                    config,
+                    index.term,
+                    1 + (candidates.index(self.name) if self.name in candidates else len(candidates)),
                 )
-            if silent > self._span() or book in self._former:
+            if silent > self._lease_s() or book in self._former_books:
                 self._expire_refs(book, index)
 
-    def _stand(self, book: str, config: BookConfig, term: int, place: int) -> None:
-        """Claim a book when it is this member's turn; the best placed goes first."""
+    def _claim_in_turn(self, book: str, config: BookConfig, term: int, place: int) -> None:
+        """Claims a book when it is this member's turn: `place` quarters of a lease after the first
+        candidate."""
         owned = self.owned.get(book)
-        if owned is None and self._try_at.setdefault(book, self.now + place * self._span() / 4) <= self.now:
-            self._take(book, config, term)
-        elif owned is not None and owned.stage is Stage.CLAIMING and self.now - owned.born > 2 * self._span():
-            self._stand_back(owned, 0.0)  # no majority is to be had
+        if (
+            owned is None
+            and self._claim_times.setdefault(book, self.now + place * self._lease_s() / 4) <= self.now
+        ):
+            self._claim_next_term(book, config, term)
+        elif (
+            owned is not None
+            and owned.stage is Stage.CLAIMING
+            and self.now - owned.created_at > 2 * self._lease_s()
+        ):
+            self._withdraw_claim(owned, 0.0)  # no majority granted it
 
-    def _nobody(self, book: str) -> bool:
-        """Whether a book is not this member's either, at a moment when it should be somebody's."""
+    def _is_unowned(self, book: str) -> bool:
+        """Whether this member does not own an orphaned book either."""
         owned = self.owned.get(book)
         return owned is None or owned.stage is Stage.CLAIMING
 
     def _expire_copy(self, copy: Copy) -> None:
-        """At a deadline nobody can deliver any more; the end is owed all the same."""
-        by = copy.ahead or copies.NO_TIME
-        if not self._nobody(copy.book):
+        """Reports messages of an orphaned copy that reached their deadlines, since no owner will end them."""
+        by = copy.clock_offset or copies.NO_TIME
+        if not self._is_unowned(copy.book):
             return
-        over = [
+        expired = [
             entry
             for ref, entry in copy.live.items()
-            if ref not in copy.told and entry.message.ends_at + by <= self._wall
+            if ref not in copy.reported_refs and entry.message.ends_at + by <= self._wall
         ]
-        if over:
-            copy.told.update(entry.message.ref for entry in over)
-            self._act(Expired(copy.book, tuple(copies.shifted(entry, by) for entry in over), ()))
-
-    def _expire_refs(self, book: str, index: Index) -> None:
-        over = tuple(ref for ref, at in index.refs.items() if at <= self.now)
-        if over and self._nobody(book):
-            for ref in over:
+        if expired:
+            copy.reported_refs.update(entry.message.ref for entry in expired)
+            self._emit(Expired(copy.book, tuple(copies.shift_times(entry, by) for entry in expired), ()))
+
+    def _expire_refs(self, book: str, index: IdIndex) -> None:
+        expired = tuple(ref for ref, at in index.refs.items() if at <= self.now)
+        if expired and self._is_unowned(book):
+            for ref in expired:
                 del index.refs[ref]
-            self._act(Expired(book, (), over))
+            self._emit(Expired(book, (), expired))
 
-    def _left(self, copy: Copy) -> float:
-        """Seconds until the last deadline in a copy, by this clock."""
-        by = copy.ahead or copies.NO_TIME
+    def _time_left(self, copy: Copy) -> float:
+        """Returns the seconds until the last deadline in a copy, by this clock."""
+        by = copy.clock_offset or copies.NO_TIME
         ends = max((entry.message.ends_at for entry in copy.live.values()), default=None)
-        return (ends + by - self._wall).total_seconds() if ends is not None else -KEEP_AFTER - 1.0
+        return (ends + by - self._wall).total_seconds() if ends is not None else -ORPHAN_COPY_KEEP_S - 1.0
 
     def _ask_silent(self, copy: Copy) -> None:
-        """An owner that is there and says nothing: perhaps this is no replica of its any more."""
-        every = max(3 * self._span(), 3.0)
-        if self.now - copy.heard_at > every and self.now - self._told.get(copy.book, -1e9) > every:
-            self._told[copy.book] = self.now
-            self._behind(copy, copy.config.owner)
-
-    def _take(self, book: str, config: BookConfig, term: int) -> None:
-        """Claim the next term of a book."""
-        term = max(term, self._terms.get(book, 0), self.register.term(book)) + 1
-        self._terms[book] = term
-        self._try_at[book] = self.now + self._span() + self._pause()
-        mine = msgspec.structs.replace(config, owner=self.name, life=self.life)
-        owned = self.owned[book] = Owned(
-            book, term, mine, born=self.now, fresh=False, before=(config.owner, config.life)
+        """Reports the position to an owner that is present but silent: it may have removed this replica."""
+        interval = max(3 * self._lease_s(), 3.0)
+        if self.now - copy.heard_at > interval and self.now - self._asked_at.get(copy.book, -1e9) > interval:
+            self._asked_at[copy.book] = self.now
+            self._send_behind(copy, copy.config.owner)
+
+    def _claim_next_term(self, book: str, config: BookConfig, term: int) -> None:
+        """Claims a book at the term after the highest one known."""
+        term = max(term, self._highest_terms.get(book, 0), self.register.term(book)) + 1
+        self._highest_terms[book] = term
+        self._claim_times[book] = self.now + self._lease_s() + self._random_pause()
+        mine = msgspec.structs.replace(config, owner=self.name, uid=self.uid)
+        owned = self.owned[book] = OwnedBook(
+            book,
+            term,
+            mine,
+            created_at=self.now,
+            accepts_messages=False,
+            former_owner=(config.owner, config.uid),
         )
         self._claim(owned)
 
-    # Taking over
+    # Takeover
 
-    def _begin_fetch(self, owned: Owned) -> None:
+    def _begin_fetch(self, owned: OwnedBook) -> None:
         owned.stage = Stage.FETCHING
-        owned.fetch_ends = self.now + self._span()
+        owned.fetch_deadline = self.now + self._lease_s()
         copy = self.copies.get(owned.book)
         if copy is not None:
             copy.term = max(copy.term, owned.term)
-            self._act(StoreCopy(owned.book, copy))
-            pieces = list(copies.parts(self._packed(copy)))
-            owned.answers[self.name] = Answer(
-                copy.position, copy.sure, True, len(pieces), got=dict(enumerate(pieces))
+            self._emit(StoreCopy(owned.book, copy))
+            pieces = list(copies.split_parts(self._packed(copy)))
+            owned.fetch_answers[self.name] = FetchAnswer(
+                copy.position, copy.confirmed, True, len(pieces), received_parts=dict(enumerate(pieces))
             )
         if (index := self.id_indexes.get(owned.book)) is not None:
-            answer = owned.answers.setdefault(self.name, Answer(START, False, False, 1, got={0: ()}))
+            answer = owned.fetch_answers.setdefault(
+                self.name, FetchAnswer(LOG_START, False, False, 1, received_parts={0: ()})
+            )
             answer.refs = {ref: round((at - self.now) * 1000) for ref, at in index.refs.items()}
         self._fetch_on(owned)
 
-    def _fetch_on(self, owned: Owned) -> None:
-        """Ask those who have not answered; enough, or too late: go on with what there is."""
+    def _fetch_on(self, owned: OwnedBook) -> None:
+        """Asks members that have not answered. Goes on with the answers at hand once all present replicas
+        have answered or the deadline has passed."""
         asked = sorted({*owned.config.replicas, *owned.config.witnesses} - {self.name})
-        missing = [name for name in asked if name not in owned.answers or not owned.answers[name].whole()]
-        hoped = [name for name in missing if name in self.there and name in owned.config.replicas]
-        if not hoped or self.now >= owned.fetch_ends:
-            self._win(owned)
-        elif self.now >= owned.fetch_at:
-            owned.fetch_at = self.now + max(RESEND, self._span() / 8)
+        missing = [
+            name
+            for name in asked
+            if name not in owned.fetch_answers or not owned.fetch_answers[name].is_complete()
+        ]
+        expected = [name for name in missing if name in self.peers and name in owned.config.replicas]
+        if not expected or self.now >= owned.fetch_deadline:
+            self._acquire(owned)
+        elif self.now >= owned.next_fetch_at:
+            owned.next_fetch_at = self.now + max(MIN_RESEND_S, self._lease_s() / 8)
             for name in missing:
                 self._send(name, wire.Fetch(self.name, owned.book, owned.term))
 
-    def _on_held(self, held: wire.Held) -> None:
-        owned = self.owned.get(held.book)
-        if owned is None or owned.term != held.term or owned.stage is not Stage.FETCHING:
+    def _on_contents(self, contents: wire.Contents) -> None:
+        owned = self.owned.get(contents.book)
+        if owned is None or owned.term != contents.term or owned.stage is not Stage.FETCHING:
             return
-        answer, ahead = owned.answers.get(held.source), self._wall - held.now
-        if answer is None or (answer.position, answer.parts) != (held.position, held.parts):
-            answer = Answer(held.position, held.sure, held.known, held.parts, ahead)
-            owned.answers[held.source] = answer
-        answer.ahead = min(answer.ahead, ahead)
-        answer.got[held.part] = held.entries
-        answer.refs.update(held.refs)
-        if answer.whole():
+        answer, clock_offset = owned.fetch_answers.get(contents.source), self._wall - contents.sender_time
+        if answer is None or (answer.position, answer.parts) != (contents.position, contents.parts):
+            answer = FetchAnswer(
+                contents.position, contents.confirmed, contents.has_copy, contents.parts, clock_offset
+            )
+            owned.fetch_answers[contents.source] = answer
+        answer.clock_offset = min(answer.clock_offset, clock_offset)
+        answer.received_parts[contents.part] = contents.entries
+        answer.refs.update(contents.refs)
+        if answer.is_complete():
             self._fetch_on(owned)
 
-    def _win(self, owned: Owned) -> None:
-        """The copy that is furthest has all that was promised, if enough have answered."""
-        whole = {name: a for name, a in owned.answers.items() if a.whole()}
-        told = [a for name, a in whole.items() if a.known and a.sure and name in owned.config.replicas]
-        best = max((a for a in whole.values() if a.known), key=lambda a: a.position, default=None)
+    def _acquire(self, owned: OwnedBook) -> None:
+        """Takes over the copy with the highest position, which has all promised messages if enough replicas
+        answered."""
+        complete = {name: a for name, a in owned.fetch_answers.items() if a.is_complete()}
+        confirmed = [
+            a for name, a in complete.items() if a.has_copy and a.confirmed and name in owned.config.replicas
+        ]
+        best = max((a for a in complete.values() if a.has_copy), key=lambda a: a.position, default=None)
         refs: dict[str, int] = {}
-        for answer in whole.values():
+        for answer in complete.values():
             refs.update(answer.refs)
         entries: list[Ordered] = []
         if best is not None:
-            owned.base, owned.last = best.position, best.position[1]
-            for part in sorted(best.got):
+            owned.base_position, owned.last = best.position, best.position[1]
+            for part in sorted(best.received_parts):
                 entries += [
-                    (order, copies.shifted(entry, best.ahead))
-                    for order, data in best.got[part]
+                    (order, copies.shift_times(entry, best.clock_offset))
+                    for order, data in best.received_parts[part]
                     if (entry := copies.unpack(data)) is not None
                 ]
         known = {entry.message.ref for _, entry in entries}
-        owned.stage, owned.answers = Stage.ADOPTING, {}
-        before = (
+        owned.stage, owned.fetch_answers = Stage.ADOPTING, {}
+        previous_owner = (
             self.copies[owned.book].config.owner
             if owned.book in self.copies
             else (self.id_indexes[owned.book].config.owner if owned.book in self.id_indexes else self.name)
         )
         self.id_indexes.pop(owned.book, None)
         refs = {ref: left for ref, left in refs.items() if ref not in known}
-        self._act(
+        self._emit(
             Acquired(
                 owned.book,
                 owned.term,
                 owned.last,
                 tuple(entries),
-                len(told),
+                len(confirmed),
                 len(owned.config.replicas),
                 refs,
-                before,
+                previous_owner,
             )
         )
 
-    # What is told to keepers of ids
+    # Id holders, as an owner
 
-    def _keepers(self, owned: Owned) -> list[str]:
-        """Members without a copy, witnesses if there are any, who tell the ends should all copies be lost."""
-        names = owned.names()
-        fit = [
-            n for n in owned.config.witnesses if n in self.there and n not in self._unfit and n not in names
+    def _choose_id_holders(self, owned: OwnedBook) -> list[str]:
+        """Chooses members without a copy, preferably witnesses, that report the messages' ends if all copies
+        are lost."""
+        names = owned.replica_names()
+        preferred = [
+            n
+            for n in owned.config.witnesses
+            if n in self.peers and n not in self._avoided_until and n not in names
+        ]
+        return ranked(owned.book, preferred or [n for n in self._eligible() if n not in names], "ids")[
+            :ID_HOLDER_COUNT
         ]
-        return ranked(owned.book, fit or [n for n in self._fit() if n not in names], "ids")[:KEEPERS]
 
-    def _keep_ids(self, owned: Owned) -> None:
-        """See to the keepers of a book's ids."""
+    def _maintain_id_holders(self, owned: OwnedBook) -> None:
+        """Updates the id holders of a book and sends them changes."""
         if owned.stage is Stage.OWNED:
-            ids = self._id_logs.setdefault(owned.book, Ids())
-            self._let_keepers_go(owned, ids.keep(self._keepers(owned)))
+            ids = self._id_logs.setdefault(owned.book, IdLog())
+            self._dismiss_id_holders(owned, ids.set_holders(self._choose_id_holders(owned)))
             ids.flush()
-            self._tell(owned, ids)
+            self._send_id_changes(owned, ids)
 
-    def _let_keepers_go(self, owned: Owned, names: Iterable[str]) -> None:
+    def _dismiss_id_holders(self, owned: OwnedBook, names: Iterable[str]) -> None:
         for name in names:
             self._send(name, wire.Refs(self.name, owned.book, owned.term, -1, 0, (), ()))
 
-    def _tell(self, owned: Owned, ids: Ids) -> None:
-        for name in ids.keepers:
-            if not ids.wants(self.now, name):
+    def _send_id_changes(self, owned: OwnedBook, ids: IdLog) -> None:
+        for name in ids.holders:
+            if not ids.is_due(self.now, name):
                 continue
-            found, config = ids.next(self.now, name), None
+            found, config = ids.next_changes(self.now, name), None
             if found is None:
-                after, owed, over, config = -1, owned.open, (), owned.config
+                after, outstanding, ended, config = -1, owned.open, (), owned.config
             else:
-                after, (owed, over) = found
-            left = tuple(
-                (ref, max(0, round((at - self._wall).total_seconds() * 1000))) for ref, at in owed.items()
+                after, (outstanding, ended) = found
+            with_ms_left = tuple(
+                (ref, max(0, round((at - self._wall).total_seconds() * 1000)))
+                for ref, at in outstanding.items()
             )
             self._send(
-                name, wire.Refs(self.name, owned.book, owned.term, after, ids.step, left, over, config)
+                name,
+                wire.Refs(self.name, owned.book, owned.term, after, ids.step, with_ms_left, ended, config),
             )
 
-    def _on_told(self, told: wire.Told) -> None:
-        owned, ids = self.owned.get(told.book), self._id_logs.get(told.book)
-        if owned is None or ids is None or told.term != owned.term or owned.stage is not Stage.OWNED:
+    def _on_refsacked(self, ack: wire.RefsAcked) -> None:
+        owned, ids = self.owned.get(ack.book), self._id_logs.get(ack.book)
+        if owned is None or ids is None or ack.term != owned.term or owned.stage is not Stage.OWNED:
             return
-        ids.told(self.now, told.source, told.step, told.missed)
-        self._tell(owned, ids)
+        ids.on_ack(self.now, ack.source, ack.step, ack.missed)
+        self._send_id_changes(owned, ids)
 
-    # Small things
+    # Helpers
 
-    def _disown(self, book: str) -> None:
-        """Forget a book as one that is owned or claimed, and what is known of it only for as long."""
-        for table in (self.owned, self._id_logs, self._desired):
+    def _drop_owned(self, book: str) -> None:
+        """Removes a book that was owned or claimed, with the state kept for owned books."""
+        for table in (self.owned, self._id_logs, self._desired_replicas):
             table.pop(book, None)
 
-    def _act(self, action: Action) -> None:
+    def _emit(self, action: Action) -> None:
         self._actions.append(action)
 
     def _send(self, to: str, message: wire.Message) -> None:
-        if to == self.name:  # a witness of its own books
+        if to == self.name:  # this sender may be a witness of its own books
             getattr(self, f"_on_{type(message).__name__.lower()}")(message)
         else:
-            self._act(Send(to, message))
+            self._emit(Send(to, message))
 
-    def _done(self) -> list[Action]:
+    def _drain_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
--- a/willownotch/replica/ids.py
+++ b/willownotch/replica/ids.py
@@ -1,7 +1,8 @@
-"""Which ids of a book are owed an end, as its owner tells members without a copy. No I/O, no clock.
+"""The outstanding ids of a book, replicated by its owner to id holders: members without a copy.
 
-They end these by a notice should all copies be lost. Each change is a step; a keeper applies the steps in
-their order, and a promise waits until one of the keepers has the step that the message came with.
+An id holder ends these messages with a notice if all copies are lost. Each change is a step and steps are
+applied in order; the 202 of a message waits until one id holder has the step with the message's id. Performs
+no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -10,148 +11,162 @@
 from dataclasses import dataclass, field
 from datetime import datetime
 
-from willownotch.replica.books import resend_after
+from willownotch.replica.books import resend_delay_s
 from willownotch.replica.wire import BookConfig
 
-STEPS_MOST = 512  # that are kept for keepers that lag; who is further behind is told all
-BEAT = 5.0  # s between two words to a keeper that has everything
+MAX_STEPS = 512  # steps kept for id holders that lag; one further behind gets the whole list
+HEARTBEAT_S = 5.0  # between two messages to an id holder that is up to date
 
-Change = tuple[dict[str, datetime], tuple[str, ...]]  # ids with their deadlines, ids that are over
+Change = tuple[dict[str, datetime], tuple[str, ...]]  # new ids with their deadlines, ended ids
 
 
 @dataclass(slots=True)
-class Index:
-    """What a keeper knows. `at` is the step up to which it does; -1: it has not been told all of it."""
+class IdIndex:
+    """What an id holder knows of a book. `known_step` is -1 until it has received the whole list."""
 
     config: BookConfig
     term: int
     heard_at: float
-    refs: dict[str, float]  # ids, and when their deadlines are by this clock
-    at: int = -1
-
-    def take(
-        self, now: float, after: int, step: int, owed: tuple[tuple[str, int], ...], over: tuple[str, ...]
+    refs: dict[str, float]  # ids, and their deadlines on this monotonic clock
+    known_step: int = -1
+
+    def apply_step(
+        self,
+        now: float,
+        after: int,
+        step: int,
+        outstanding: tuple[tuple[str, int], ...],
+        ended: tuple[str, ...],
     ) -> bool:
-        """Take ids in and out, ms left told with each; whether steps before these were missed."""
-        if self.at < after:
+        """Applies ids (with ms until their deadlines) that start and end; returns True if earlier steps are
+        missing."""
+        if self.known_step < after:
             return True
         self.heard_at = now
-        if step < self.at:
-            return False  # an old one, overtaken
+        if step < self.known_step:
+            return False  # a late message; a newer step is known
         if after < 0:
             self.refs.clear()
-        self.at = step
-        for ref in over:
+        self.known_step = step
+        for ref in ended:
             self.refs.pop(ref, None)
-        for ref, left in owed:
+        for ref, left in outstanding:
             self.refs[ref] = now + left / 1000
         return False
 
 
 @dataclass(slots=True)
-class Keeper:
-    """A member that is told, as the owner knows it."""
+class IdHolder:
+    """An id holder as the owner sees it."""
 
-    at: int = -1  # up to this step it has told that it knows; -1: where it is is not known
+    known_step: int = -1  # last acknowledged step; -1: unknown
     sent: int = -1
     sent_at: float = -1e9
-    since: float | None = None  # since when it has been owing an answer
+    waiting_since: float | None = None  # since when an acknowledgement is due
     tries: int = 0
 
 
 @dataclass(slots=True)
-class Ids:
-    """An owner's side, of one book."""
+class IdLog:
+    """The owner's side for one book: its steps, and what each id holder has acknowledged."""
 
     step: int = 0
-    steps: dict[int, Change] = field(default_factory=dict)  # that some keeper has not acknowledged
-    keepers: dict[str, Keeper] = field(default_factory=dict)
-    _added: dict[str, datetime] = field(default_factory=dict)
-    _gone: set[str] = field(default_factory=set)
-    _taken: deque[tuple[int, int]] = field(  # steps, and the record before each one's first
-        default_factory=lambda: deque(maxlen=STEPS_MOST)
+    steps: dict[int, Change] = field(default_factory=dict)  # not acknowledged by all id holders
+    holders: dict[str, IdHolder] = field(default_factory=dict)
+    _new_refs: dict[str, datetime] = field(default_factory=dict)
+    _ended_refs: set[str] = field(default_factory=set)
+    _awaited: deque[tuple[int, int]] = field(  # steps that promises wait for, and the record before each
+        default_factory=lambda: deque(maxlen=MAX_STEPS)
     )
 
     def note(self, added: dict[str, datetime], gone: list[str]) -> None:
-        """Ids that are owed an end from now on, and that are not any more; told with the next step."""
-        self._added.update(added)
+        """Collects ids that become outstanding, and ids that end, for the next step."""
+        self._new_refs.update(added)
         for ref in gone:
-            if self._added.pop(ref, None) is None:
-                self._gone.add(ref)
+            if self._new_refs.pop(ref, None) is None:
+                self._ended_refs.add(ref)
 
     def flush(self, before: int | None = None) -> None:
-        """Make one step of what was noted. `before` is the record ahead of what a promise is to wait for."""
-        if not self._added and not self._gone:
+        """Makes one step of the collected changes. Promises of records behind `before` wait for it."""
+        if not self._new_refs and not self._ended_refs:
             return
         self.step += 1
-        self.steps[self.step] = self._added, tuple(self._gone)
-        self._added, self._gone = {}, set()
-        if before is not None and self.keepers:
-            self._taken.append((self.step, before))
-        least = min((k.at for k in self.keepers.values()), default=self.step)
-        while self.steps and ((first := next(iter(self.steps))) <= least or len(self.steps) > STEPS_MOST):
+        self.steps[self.step] = self._new_refs, tuple(self._ended_refs)
+        self._new_refs, self._ended_refs = {}, set()
+        if before is not None and self.holders:
+            self._awaited.append((self.step, before))
+        least = min((k.known_step for k in self.holders.values()), default=self.step)
+        while self.steps and ((first := next(iter(self.steps))) <= least or len(self.steps) > MAX_STEPS):
             del self.steps[first]
 
-    def keep(self, names: list[str]) -> list[str]:
-        """These are told from now on; who no longer is."""
+    def set_holders(self, names: list[str]) -> list[str]:
+        """Sets the id holders; returns those that were removed."""
         if not names:
-            self._taken.clear()  # nobody is left to wait for
-        gone = [name for name in self.keepers if name not in names]
+            self._awaited.clear()  # no id holder is left to wait for
+        gone = [name for name in self.holders if name not in names]
         for name in gone:
-            del self.keepers[name]
+            del self.holders[name]
         for name in names:
-            self.keepers.setdefault(name, Keeper())
+            self.holders.setdefault(name, IdHolder())
         return gone
 
-    def wants(self, now: float, name: str) -> bool:
-        """Whether a keeper is to be told something now."""
-        keeper = self.keepers[name]
-        if 0 <= keeper.sent < self.step:
+    def is_due(self, now: float, name: str) -> bool:
+        """Whether a message to an id holder is due."""
+        holder = self.holders[name]
+        if 0 <= holder.sent < self.step:
             return True
-        wait = resend_after(keeper.tries) if keeper.at < self.step else BEAT
-        return now - keeper.sent_at >= wait
-
-    def next(self, now: float, name: str) -> tuple[int, Change] | None:
-        """The step to go on from and what comes behind it; None: tell it all that is owed."""
-        keeper = self.keepers[name]
-        if keeper.sent >= self.step > keeper.at:  # it does not answer: again from where it was
-            keeper.sent, keeper.tries = keeper.at, min(keeper.tries + 1, 8)
-        after, keeper.sent, keeper.sent_at = keeper.sent, self.step, now
-        if keeper.since is None:
-            keeper.since = now
+        wait = resend_delay_s(holder.tries) if holder.known_step < self.step else HEARTBEAT_S
+        return now - holder.sent_at >= wait
+
+    def next_changes(self, now: float, name: str) -> tuple[int, Change] | None:
+        """Returns the step that an id holder has and the changes since, or None if it needs the whole
+        list."""
+        holder = self.holders[name]
+        if (
+            holder.sent >= self.step > holder.known_step
+        ):  # no acknowledgement: resend from the last acknowledged step
+            holder.sent, holder.tries = holder.known_step, min(holder.tries + 1, 8)
+        after, holder.sent, holder.sent_at = holder.sent, self.step, now
+        if holder.waiting_since is None:
+            holder.waiting_since = now
         if after < 0 or any(n not in self.steps for n in range(after + 1, self.step + 1)):
             return None
-        owed: dict[str, datetime] = {}
-        over: dict[str, None] = {}
+        outstanding: dict[str, datetime] = {}
+        ended: dict[str, None] = {}
         for n in range(after + 1, self.step + 1):
             added, gone = self.steps[n]
             for ref in gone:
-                owed.pop(ref, None)
-                over[ref] = None
-            owed.update(added)
-        return after, (owed, tuple(over))
-
-    def told(self, now: float, name: str, at: int, missed: bool) -> None:
-        """A keeper says where it is, and whether it missed something behind that."""
-        keeper = self.keepers.get(name)
-        if keeper is None or at > self.step:
+                outstanding.pop(ref, None)
+                ended[ref] = None
+            outstanding.update(added)
+        return after, (outstanding, tuple(ended))
+
+    def on_ack(self, now: float, name: str, known_step: int, missed: bool) -> None:
+        """Handles an acknowledgement up to `known_step`; `missed` asks for the steps behind it again."""
+        holder = self.holders.get(name)
+        if holder is None or known_step > self.step:
             return
-        if at > keeper.at:
-            keeper.since = now
-        if at >= self.step:
-            keeper.since = None
+        if known_step > holder.known_step:
+            holder.waiting_since = now
+        if known_step >= self.step:
+            holder.waiting_since = None
         if missed:
-            keeper.sent, keeper.sent_at = at, -1e9  # it is told the rest, or all, at once
-        keeper.at, keeper.tries = at if missed else max(at, keeper.at), 0
-
-    def floor(self, now: float, patience: float) -> int | None:
-        """Up to which record some keeper knows the ids; None: of all of them, or no keeper answers."""
-        best = max((k.at for k in self.keepers.values()), default=-1)
-        while self._taken and self._taken[0][0] <= best:
-            self._taken.popleft()
-        if not self._taken:
+            holder.sent, holder.sent_at = known_step, -1e9  # resend at once
+        holder.known_step, holder.tries = known_step if missed else max(known_step, holder.known_step), 0
+
+    def promise_limit(self, now: float, patience: float) -> int | None:
+        """Returns the record up to which an id holder knows the ids.
+
+        None means no limit: all steps are acknowledged, or no id holder has answered within `patience`
+        seconds, so that promises do not wait for unresponsive members.
+        """
+        best = max((k.known_step for k in self.holders.values()), default=-1)
+        while self._awaited and self._awaited[0][0] <= best:
+            self._awaited.popleft()
+        if not self._awaited:
             return None
         answering = any(
-            k.at >= 0 and (k.since is None or now - k.since <= patience) for k in self.keepers.values()
+            k.known_step >= 0 and (k.waiting_since is None or now - k.waiting_since <= patience)
+            for k in self.holders.values()
         )
-        return self._taken[0][1] if answering else None
+        return self._awaited[0][1] if answering else None
--- a/willownotch/replica/placement.py
+++ b/willownotch/replica/placement.py
@@ -1,7 +1,7 @@
-"""Where a book's copies and witnesses are: rendezvous hashing (Thaler, Ravishankar, 1998).
+"""Places a book's copies and witnesses by rendezvous hashing (Thaler and Ravishankar, 1998).
 
-Each member has a weight for each book, and the highest ones are chosen. A member that goes moves only what it
-had; one that comes takes over only what it is now the best place for.
+Each member has a weight for each book, and the members with the highest weights are chosen. A member that
+leaves moves only what it held; one that joins takes over only the books that it ranks first for.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def ranked(book: str, names: Iterable[str], purpose: str = "copies") -> list[str]:
-    """Names, the best place first; everybody who knows the names finds the same."""
+    """Returns the names by weight, highest first; the same on every member that knows the same names."""
     from xxhash import xxh64_intdigest
 
     def weight(name: str) -> tuple[int, str]:
@@ -20,7 +20,8 @@
 
 
 def witnesses(book: str, own: str, names: Iterable[str], wanted: int) -> tuple[str, ...]:
-    """An odd number of members, of whom a majority grants terms. A lone witness is never the owner itself."""
+    """Chooses an odd number of witnesses, whose majority grants terms. A single witness is never the
+    owner."""
     line = ranked(book, {*names, own}, "witness")
     count = witness_count(len(line), wanted)
     if count == 1:
@@ -29,11 +30,11 @@
 
 
 def witness_count(members: int, wanted: int) -> int:
-    """How many witnesses a book can have where there are so many members, its owner among them."""
+    """Returns how many witnesses a book can have among `members` (with its owner): an odd number."""
     count = min(wanted, members)
     return max(1, count - (count % 2 == 0))
 
 
 def majority(count: int) -> int:
-    """More than half."""
+    """Returns the smallest number that is more than half of `count`."""
     return count // 2 + 1
