--- a/willownotch/replica/service.py
+++ b/willownotch/replica/service.py
@@ -1,8 +1,8 @@
-"""Custody in a running sender: one thread feeds the core, and tells the sender's others what it found.
+"""Runs custody in a sender: one thread feeds the core and publishes its state to the other threads.
 
-The journal hands over what it has written, in its order and under its lock. The owner and the workers ask
-what may be promised and done; the answers are plain values that this thread publishes, so nobody waits for it
-but those who wait for copies.
+The journal passes on the records that it has written, in order and under its lock. The decision loop and the
+endpoint side ask which messages may be accepted and which calls made; they read plain values that the custody
+thread publishes, so that only a thread that waits for copies is blocked.
 """
 
 from __future__ import annotations
@@ -22,8 +22,15 @@
 from willownotch.bodies.store import BodyLostError
 from willownotch.files.layer import Files
 from willownotch.files.space import Space
-from willownotch.journal.records import AcceptedMessage, Entry, MessageEnded, NoticeAnswered, Record, frame
-from willownotch.journal.records import Custody as Mark
+from willownotch.journal.records import (
+    AcceptedMessage,
+    Custody,
+    Entry,
+    MessageEnded,
+    NoticeAnswered,
+    Record,
+    frame,
+)
 from willownotch.links.transport import LinkKind, TcpTransport
 from willownotch.replica import core as cores
 from willownotch.replica import wire
@@ -31,10 +38,10 @@
 from willownotch.replica.settings import ReplicaSettings
 from willownotch.replica.store import Store
 
-BATCH = 256  # things taken before what they led to is kept and sent
-LAST_S = 0.2  # for the last words of a sender that ends
-LOG_S = 10.0  # between two lines on messages that no copies can be had for
-WITNESS_OF = (wire.Granted, wire.Acked)  # what may be said only once it is in the folder
+MAX_BATCH = 256  # inbox items handled before the results are stored and sent
+STOP_WAIT_S = 0.2  # for the last messages of a sender that stops
+LOG_INTERVAL_S = 10.0  # between two log lines about messages with too few copies
+DURABLE_REPLIES = (wire.Granted, wire.Acked)  # sent only after the state behind them is stored
 
 LINKS = LinkKind(
     "custody", wire.VERSION, wire.decode, lambda message: sum(map(len, getattr(message, "frames", ()))) + 200
@@ -42,29 +49,29 @@
 
 
 class FollowerView(msgspec.Struct, frozen=True):
-    """A replica of a book of this sender's."""
+    """A replica of a book that this sender owns."""
 
     name: str
-    lag: int | None  # records that it has not acknowledged; None: where it is is not known
-    filling: int  # parts still to be sent
+    lag: int | None  # records not acknowledged; None: its position is unknown
+    filling: int  # parts of a fill still to be sent
     heard_s: float
 
 
 class BookView(msgspec.Struct, frozen=True):
-    """A book of this sender's."""
+    """A book that this sender owns or claims."""
 
     book: str
     term: int
     stage: str
     lease_s: float
     messages: int
-    below: int  # records that are not yet in as many copies as the class with the highest W asks for
+    below: int  # records with fewer copies than the class with the highest W requires
     witnesses: tuple[str, ...]
     replicas: tuple[FollowerView, ...]
 
 
 class CopyView(msgspec.Struct, frozen=True):
-    """What this sender holds for another."""
+    """A copy that this sender holds of another sender's book."""
 
     book: str
     owner: str
@@ -76,47 +83,48 @@
 
 
 class ReplicaView(msgspec.Struct, frozen=True):
-    """All of it."""
+    """The state of replication in this sender."""
 
     name: str
     current: str | None
     books: tuple[BookView, ...]
     copies: tuple[CopyView, ...]
-    terms: int  # books that this sender is a witness of
-    ids: dict[str, int]  # of books without a copy here: how many ids are known to be owed an end
+    terms: int  # number of books that this sender is a witness of
+    ids: dict[str, int]  # by book without a copy here: number of outstanding ids known
     traffic: dict[str, int]
     refused: dict[str, int]
     counts: dict[str, int]
 
 
 @dataclass(slots=True)
-class Wrote:
-    """Records of one book that the journal has taken."""
+class WrittenRecords:
+    """Records of one book that the journal has written."""
 
     book: str
     records: list[Record]
 
 
 @dataclass(slots=True)
-class Wait:
-    """Somebody waits until a record is in enough copies."""
+class CopyWait:
+    """A callback that waits until a record has enough copies."""
 
     book: str
-    at: int
-    wanted: int
-    by: float  # then it is over, or the lease alone is enough
-    strict: bool  # it is over then, whatever the lease
-    done: Callable[[bool], None]
+    record: int
+    acks: int
+    deadline: float  # then the wait fails if `strict`, else the lease is enough
+    strict: bool  # the wait fails at the deadline, with or without a lease
+    callback: Callable[[bool], None]
 
 
 class CustodyService:
-    """Custody for one sender. `start` its threads, ask from any."""
+    """Custody for one sender. Its caller starts a thread on `run`; the other methods may be called from any
+    thread."""
 
     def __init__(
         self,
         settings: ReplicaSettings,
         name: str,
-        life: int,
+        uid: int,
         transport: TcpTransport,
         folder: Path,
         files: Files,
@@ -129,81 +137,87 @@
         self.store = Store(folder, files, space, say)
         self.core = cores.CustodyCore(
             name,
-            life,
+            uid,
             settings,
             time.monotonic(),
-            Random(life),
+            Random(uid),
             self._snapshot,
             int(settings.room * room / 3),
         )
         self.read_body: Callable[[AcceptedMessage], bytes] = lambda message: message.body
         self.entries: Callable[[Callable[[], int]], tuple[int, list[Entry]]] = lambda number: (number(), [])
         self.peers: Callable[[], dict[str, tuple[int, tuple[str, int]]]] = dict
-        self.on_acquired: Callable[[cores.Acquired], None] = lambda won: None
+        self.on_acquired: Callable[[cores.Acquired], None] = lambda acquired: None
         self.on_lost: Callable[[cores.Lost], None] = lambda lost: None
         self.on_expired: Callable[[cores.Expired], None] = lambda expired: None
         self.counts: Counter[str] = Counter()
         self._inbox: queue.SimpleQueue = queue.SimpleQueue()
-        self._lock = threading.Lock()  # of what follows
+        self._lock = threading.Lock()  # guards the fields below
         self._changed = threading.Condition(self._lock)
-        self._last: dict[str, int] = {}  # the number of a book's last record in the journal
-        self._order: dict[str, dict[str, int]] = {}  # of a book, each id's place
+        self._last_records: dict[str, int] = {}  # by book, the number of its last record in the journal
+        self._order: dict[str, dict[str, int]] = {}  # by book, each id's place in the order
         self._leases: dict[str, float] = {}
-        self._reached: dict[tuple[str, int], int] = {}
-        self._usable: dict[int, str | None] = {}
-        self._waits: list[Wait] = []
-        self._asleep = time.monotonic()
-        self._awake = time.monotonic()  # since when this thread has not stood still
-        self._said_at = -LOG_S
-
-    # What the sender asks
-
-    def custody_for(self, name: str) -> Mark | None | bool:
-        """What a message of a class is taken on under: None, nothing of the kind; False, it cannot be now."""
-        wanted = self.settings.wanted(name)
+        self._copied_up_to: dict[tuple[str, int], int] = {}
+        self._usable_books: dict[int, str | None] = {}
+        self._waits: list[CopyWait] = []
+        self._last_turn_at = time.monotonic()
+        self._running_since = time.monotonic()  # end of the last pause of this thread
+        self._logged_at = -LOG_INTERVAL_S
+
+    # Queries from other threads
+
+    def custody_for(self, name: str) -> Custody | None | bool:
+        """Returns the custody for a new message of a class: None if the class is not replicated, False if
+        there are too few replicas at this time."""
+        wanted = self.settings.required_acks(name)
         if not wanted:
             return None
-        book = self._usable.get(wanted)
-        if book is None or not self.acting(book):
+        book = self._usable_books.get(wanted)
+        if book is None or not self.may_act(book):
             self.counts["turned away"] += 1
             return False
-        return Mark(book, wanted)
+        return Custody(book, wanted)
 
-    def acting(self, book: str) -> bool:
-        """Whether this sender may act on a book at this moment."""
+    def may_act(self, book: str) -> bool:
+        """Whether this sender holds the lease of a book at this time."""
         return time.monotonic() < self._leases.get(book, 0.0)
 
-    def wait_for_copies(self, marks: list[Mark], patience: timedelta) -> bool:
-        """Wait until all that was written of these books is in enough copies; whether a relay may begin."""
+    def wait_for_copies(self, marks: list[Custody], patience: timedelta) -> bool:
+        """Waits until all records written so far for these books have enough copies; returns whether a call
+        may be made."""
         ends = time.monotonic() + patience.total_seconds()
         with self._changed:
-            wanted = [(m.book, m.acks, self._last.get(m.book, 0)) for m in marks]
+            wanted = [(m.book, m.acks, self._last_records.get(m.book, 0)) for m in marks]
             while not all(
-                self._reached.get((book, acks), -1) >= at and self.acting(book) for book, acks, at in wanted
+                self._copied_up_to.get((book, acks), -1) >= at and self.may_act(book)
+                for book, acks, at in wanted
             ):
                 left = ends - time.monotonic()
-                if left <= 0 or any(self._lapsed(book) for book, _, _ in wanted):
+                if left <= 0 or any(self._lease_lapsed(book) for book, _, _ in wanted):
                     return False
                 self._changed.wait(left)
-        return all(self.acting(book) for book, _, _ in wanted)
+        return all(self.may_act(book) for book, _, _ in wanted)
 
-    def _lapsed(self, book: str) -> bool:
-        """Whether a book is no more to be acted on. One that was just won is about to be."""
-        return book not in self._last or (book in self._leases and not self.acting(book))
+    def _lease_lapsed(self, book: str) -> bool:
+        """Whether the lease of a book has lapsed. A book that was just acquired has no published lease
+        yet."""
+        return book not in self._last_records or (book in self._leases and not self.may_act(book))
 
     def notify_when_copied(
-        self, mark: Mark, patience: timedelta, strict: bool, done: Callable[[bool], None]
+        self, mark: Custody, patience: timedelta, strict: bool, done: Callable[[bool], None]
     ) -> None:
-        """Have `done` called once all written so far is in enough copies, or with False: it never will be.
+        """Calls `done(True)` once all records written so far have enough copies, or `done(False)` if that
+        failed.
 
-        After `patience` it is over if `strict`; else the lease alone is enough from then on, since nobody
-        else can own the book, and without a lease it is told in the end all the same.
+        After `patience` the wait fails if `strict`. Otherwise the lease alone is enough from then on, since
+        no other sender can own the book; without a lease, `done(True)` is called three lease
+        durations later, unless another sender is found to own the book.
         """
         with self._lock:
             self._waits.append(
-                Wait(
+                CopyWait(
                     mark.book,
-                    self._last.get(mark.book, 0),
+                    self._last_records.get(mark.book, 0),
                     mark.acks,
                     time.monotonic() + patience.total_seconds(),
                     strict,
@@ -212,65 +226,66 @@
             )
         self._inbox.put(None)
 
-    # What it tells
+    # Events from other threads
 
     def on_written(self, pairs: list[tuple[str, Record]]) -> None:
-        """The journal has these records of books, under its lock."""
+        """Takes records, with their books, that the journal has written. The journal calls it under its
+        lock."""
         with self._lock:
             found: dict[str, list[Record]] = {}
             for book, record in pairs:
-                if book not in self._last and not self._begins(book):
-                    continue  # it is another's by now
+                if book not in self._last_records and not self._begin_book(book):
+                    continue  # another sender owns the book
                 found.setdefault(book, []).append(record)
-                self._last[book] += 1
+                self._last_records[book] += 1
                 if isinstance(record, AcceptedMessage):
-                    self._order.setdefault(book, {})[record.ref] = self._last[book]
-                elif over(record):
+                    self._order.setdefault(book, {})[record.ref] = self._last_records[book]
+                elif is_finished(record):
                     self._order.get(book, {}).pop(record.ref, None)
             for book, records in found.items():
-                self._inbox.put(Wrote(book, records))
+                self._inbox.put(WrittenRecords(book, records))
 
-    def _begins(self, book: str) -> bool:
+    def _begin_book(self, book: str) -> bool:
         if book not in self._leases:
             return False
-        self._last[book] = 0
+        self._last_records[book] = 0
         return True
 
-    def begin_adoption(self, won: cores.Acquired) -> None:
-        """From here on what the journal writes of this book follows on what was won."""
+    def begin_adoption(self, acquired: cores.Acquired) -> None:
+        """Numbers the journal's next records of this book after the acquired ones."""
         with self._lock:
-            self._last[won.book] = won.last
-            self._order[won.book] = {entry.message.ref: order for order, entry in won.entries}
+            self._last_records[acquired.book] = acquired.last
+            self._order[acquired.book] = {entry.message.ref: order for order, entry in acquired.entries}
 
-    def adoption_written(self, won: cores.Acquired, refs: dict[str, datetime]) -> None:
-        """All of it is in the journal."""
-        self._inbox.put(lambda: self.core.adopted(time.monotonic(), won.book, refs))
+    def adoption_written(self, acquired: cores.Acquired, refs: dict[str, datetime]) -> None:
+        """All entries of an acquired book are in the journal."""
+        self._inbox.put(lambda: self.core.on_adopted(time.monotonic(), acquired.book, refs))
 
     def decline_adoption(self, book: str) -> None:
-        """It could not be put there."""
-        self._inbox.put(lambda: self.core.declined(time.monotonic(), book))
+        """The journal has no space for an acquired book."""
+        self._inbox.put(lambda: self.core.on_adoption_declined(time.monotonic(), book))
 
     def discard(self, book: str, refs: list[str]) -> None:
-        """These ids of a book need nobody any more; the journal has no records of them."""
+        """Ends ids of a book that the journal has no records of."""
         self.on_written([(book, MessageEnded(ref, "withdrawn")) for ref in refs])
 
     def closed_books(self) -> list[str]:
-        """Books that this sender was a witness of and that nobody will ask for again; any thread."""
+        """Returns books that this sender was a witness of and that no member will claim again."""
         box: queue.SimpleQueue[list[str]] = queue.SimpleQueue()
 
         def look() -> list[cores.Action]:
-            box.put(self.core.register.over(time.monotonic()))
+            box.put(self.core.register.finished_books(time.monotonic()))
             return []
 
         self._inbox.put(look)
         return box.get()
 
-    def forget(self, words: bytes) -> None:
-        """Forget these books, as far as they are over here, too."""
+    def forget(self, names: bytes) -> None:
+        """Drops the named books (separated by spaces) if they are finished here as well."""
 
         def take() -> list[cores.Action]:
-            known = set(self.core.register.over(time.monotonic()))
-            books = [book for book in words.decode("utf-8", "replace").split() if book in known]
+            known = set(self.core.register.finished_books(time.monotonic()))
+            books = [book for book in names.decode("utf-8", "replace").split() if book in known]
             self.core.register.forget(books)
             self.store.forget(books)
             return []
@@ -278,58 +293,61 @@
         self._inbox.put(take)
 
     def configure(self, settings: ReplicaSettings, room: int) -> None:
-        """Take other settings."""
+        """Applies changed settings."""
 
         def take() -> list[cores.Action]:
             self.settings = self.core.settings = settings
-            self.core.room = int(settings.room * room / 3)
+            self.core.max_copy_bytes = int(settings.room * room / 3)
             return []
 
         self._inbox.put(take)
 
-    # Its thread
+    # The custody thread
 
     def open(self, live: dict[str, Entry]) -> None:
-        """Read what the folder has; entries of books that nobody knows are this journal's alone again."""
+        """Restores the stored state. Entries of the journal (`live`) in unknown books are not replicated any
+        more."""
         self.store.open()
-        owed: dict[str, dict[str, float]] = {}
+        outstanding: dict[str, dict[str, float]] = {}
         for ref, entry in live.items():
             mark = entry.message.custody
             if mark is not None and mark.book in self.store.books:
                 left = (entry.message.ends_at - self.now()).total_seconds()
-                owed.setdefault(mark.book, {})[ref] = left
-        self.core.restore(self.store.terms.values(), self.store.copies.values(), self.store.books, owed)
+                outstanding.setdefault(mark.book, {})[ref] = left
+        self.core.restore(
+            self.store.terms.values(), self.store.copies.values(), self.store.books, outstanding
+        )
 
-    def is_of_former_process(self, mark: Mark | None) -> bool:
-        """Whether a message stands in a book of a former process, which is not this one's yet."""
+    def is_of_former_process(self, mark: Custody | None) -> bool:
+        """Whether a message is in a book of a former process that this process has not acquired yet."""
         return mark is not None and mark.book in self.store.books
 
     def post(self, message: wire.Message) -> None:
-        """A frame has come; any thread."""
+        """Queues a received frame."""
         self._inbox.put(message)
 
     def run(self) -> None:
-        """Feed the core until the process ends."""
+        """Feeds the core until the process ends."""
         due = 0.0
         while True:
             items = []
             try:
                 items.append(self._inbox.get(timeout=max(0.0005, due - time.monotonic())))
-                while len(items) < BATCH and not self._inbox.empty():
+                while len(items) < MAX_BATCH and not self._inbox.empty():
                     items.append(self._inbox.get())
             except queue.Empty:
                 pass
             now = time.monotonic()
-            if now - self._asleep > self.settings.lease.total_seconds() / 2:
-                self._awake = now
-            self._asleep = now
+            if now - self._last_turn_at > self.settings.lease.total_seconds() / 2:
+                self._running_since = now
+            self._last_turn_at = now
             actions: list[cores.Action] = []
             for item in items:
                 actions += self._feed(item)
             if now >= due:
-                actions += self._look(now)
-                due = self.core.due()
-            self._carry(actions)
+                actions += self._tick(now)
+                due = self.core.next_tick_at()
+            self._carry_out(actions)
             self._publish()
             if any(isinstance(item, threading.Event) for item in items):
                 for item in items:
@@ -338,21 +356,21 @@
 
     def _feed(self, item) -> list[cores.Action]:
         now = time.monotonic()
-        if isinstance(item, Wrote):
+        if isinstance(item, WrittenRecords):
             opened = {r.ref: r.ends_at for r in item.records if isinstance(r, AcceptedMessage)}
-            ended = [r.ref for r in item.records if over(r)]
+            ended = [r.ref for r in item.records if is_finished(r)]
             frames = tuple(
-                frame(self._whole(r) if isinstance(r, AcceptedMessage) else r) for r in item.records
+                frame(self._with_body(r) if isinstance(r, AcceptedMessage) else r) for r in item.records
             )
-            return self.core.wrote(now, item.book, frames, opened, ended)
+            return self.core.on_written(now, item.book, frames, opened, ended)
         if isinstance(item, threading.Event):
             return self.core.release(now)
         if callable(item):
             return item()
         return [] if item is None else self.core.receive(now, self.now(), item)
 
-    def _whole(self, message: AcceptedMessage) -> AcceptedMessage:
-        """A message with its body, wherever that stands; without, if there is none any more."""
+    def _with_body(self, message: AcceptedMessage) -> AcceptedMessage:
+        """Returns a message with its body read in, or marked `unkept` if the body is lost."""
         if message.place is None and message.legacy_file is None:
             return message
         try:
@@ -361,29 +379,29 @@
             return msgspec.structs.replace(message, place=None, legacy_file=None, unkept=True)
         return msgspec.structs.replace(message, body=body, place=None, legacy_file=None)
 
-    def _look(self, now: float) -> list[cores.Action]:
+    def _tick(self, now: float) -> list[cores.Action]:
         there = self.peers()
         self.transport.addresses = {name: address for name, (_, address) in there.items()}
         actions = self.core.members(now, {name: uid for name, (uid, _) in there.items()})
         return actions + self.core.tick(now, self.now())
 
-    def _carry(self, actions: list[cores.Action]) -> None:
-        """What is to be kept first, by one write; then what is said."""
+    def _carry_out(self, actions: list[cores.Action]) -> None:
+        """Stores the changes in one write first, then carries out the other actions."""
         while actions:
             keeping = [
                 a for a in actions if isinstance(a, cores.StoreTerm | cores.StoreCopy | cores.StoreBook)
             ]
-            kept, more = not keeping or self.store.keep(keeping), []
+            kept, more = not keeping or self.store.write(keeping), []
             if not kept:
                 self.counts["not kept"] += 1
                 for action in keeping:
                     if isinstance(action, cores.StoreCopy) and action.copy is not None:
-                        more += self.core.unkept(time.monotonic(), action.book)
+                        more += self.core.on_copy_not_stored(time.monotonic(), action.book)
             for action in actions:
                 if isinstance(action, cores.Send):
-                    if kept or not isinstance(action.message, WITNESS_OF):
+                    if kept or not isinstance(action.message, DURABLE_REPLIES):
                         self.transport.send(action.to, action.message)
-                elif isinstance(action, cores.Say):
+                elif isinstance(action, cores.Report):
                     self.say(action.text)
                 elif isinstance(action, cores.Acquired):
                     self.counts["taken over"] += 1
@@ -397,7 +415,7 @@
 
     def _lose(self, lost: cores.Lost) -> None:
         with self._changed:
-            self._last.pop(lost.book, None)
+            self._last_records.pop(lost.book, None)
             self._order.pop(lost.book, None)
             self._leases.pop(lost.book, None)
             self._changed.notify_all()
@@ -405,56 +423,56 @@
         self.on_lost(lost)
 
     def _publish(self) -> None:
-        """Let the others see how things are, and tell those who wait."""
+        """Publishes the state to other threads, and finishes the waits that are due."""
         now, done = time.monotonic(), []
-        asked = self.settings.asked()
+        asked = self.settings.ack_levels()
         with self._changed:
             self._leases = {
                 book: o.lease_until for book, o in self.core.owned.items() if o.stage is Stage.OWNED
             }
-            wanted = asked | {wait.wanted for wait in self._waits}
-            self._reached = {
-                (book, w): self.core.reached(book, w) for book in self.core.owned for w in wanted
+            wanted = asked | {wait.acks for wait in self._waits}
+            self._copied_up_to = {
+                (book, w): self.core.copied_up_to(book, w) for book in self.core.owned for w in wanted
             }
-            self._usable = {w: self.core.usable(w, now) for w in asked}
+            self._usable_books = {w: self.core.usable_book(w, now) for w in asked}
             waits, self._waits = self._waits, []
             for wait in waits:
-                over_with = self._over_with(wait, now)
-                if over_with is None:
+                result = self._wait_result(wait, now)
+                if result is None:
                     self._waits.append(wait)
                 else:
-                    done.append((wait, over_with))
+                    done.append((wait, result))
             self._changed.notify_all()
         for wait, ok in done:
             self.counts["promised" if ok else "not copied in time"] += 1
-            if not ok and now - self._said_at > LOG_S:
-                self._said_at = now
-                self.say(f"{wait.book} found too few copies in time")
-            wait.done(ok)
-
-    def _over_with(self, wait: Wait, now: float) -> bool | None:
-        """How a wait ends, if it does now."""
-        if wait.book not in self._last:
-            return False  # it is another's
-        acting = now < self._leases.get(wait.book, 0.0)
-        if acting and self._reached.get((wait.book, wait.wanted), -1) >= wait.at:
+            if not ok and now - self._logged_at > LOG_INTERVAL_S:
+                self._logged_at = now
+                self.say(f"{wait.book} got too few copies in time")
+            wait.callback(ok)
+
+    def _wait_result(self, wait: CopyWait, now: float) -> bool | None:
+        """Returns the result of a wait, or None if it goes on."""
+        if wait.book not in self._last_records:
+            return False  # another sender owns the book
+        may_act = now < self._leases.get(wait.book, 0.0)
+        if may_act and self._copied_up_to.get((wait.book, wait.acks), -1) >= wait.record:
             return True
-        if now < wait.by:
+        if now < wait.deadline:
             return None
         if wait.strict:
             return False
-        # Nobody hears this sender, nor has anybody told it that another has the book.
+        # Cut off from the other members; none of them has reported another owner.
         span = 3 * self.settings.lease.total_seconds()
-        return True if acting or (now - wait.by > span and now - self._awake > span) else None
+        return True if may_act or (now - wait.deadline > span and now - self._running_since > span) else None
 
     def _snapshot(self, book: str) -> tuple[int, list[tuple[int, Entry]]]:
-        """A book as the journal has it."""
+        """Returns the number of a book's last record, and its entries, as the journal has them."""
         orders: dict[str, int] = {}
 
         def number() -> int:
             with self._lock:
                 orders.update(self._order.get(book, {}))
-                return self._last.get(book, 0)
+                return self._last_records.get(book, 0)
 
         last, found = self.entries(number)
         entries = []
@@ -463,7 +481,7 @@
             if mark is not None and mark.book == book and entry.message.ref in orders:
                 if entry.ended is None:
                     entry = Entry(
-                        self._whole(entry.message),
+                        self._with_body(entry.message),
                         entry.message_record_size,
                         dict(entry.started),
                         dict(entry.failed),
@@ -474,14 +492,15 @@
         return last, sorted(entries, key=lambda pair: pair[0])
 
     def stop(self) -> None:
-        """This sender acts no more: let others have what it holds."""
+        """Releases the leases, so that other senders can take over the books, and waits for the messages to
+        go out."""
         told = threading.Event()
         self._inbox.put(told)
-        told.wait(LAST_S)
-        threading.Event().wait(LAST_S)
+        told.wait(STOP_WAIT_S)
+        threading.Event().wait(STOP_WAIT_S)
 
     def view(self) -> ReplicaView:
-        """For who asks; any thread. What is read while it changes may be a moment apart."""
+        """Returns the state for operators, as read by the custody thread."""
         box: queue.SimpleQueue[ReplicaView] = queue.SimpleQueue()
 
         def look() -> list[cores.Action]:
@@ -492,10 +511,10 @@
         return box.get(timeout=5.0)
 
     def _view(self, now: float) -> ReplicaView:
-        most = max(self.settings.asked(), default=0)
+        most = max(self.settings.ack_levels(), default=0)
         books = []
         for book, owned in self.core.owned.items():
-            followers = [owned.followers[n] for n in owned.names() if n in owned.followers]
+            followers = [owned.followers[n] for n in owned.replica_names() if n in owned.followers]
             books.append(
                 BookView(
                     book,
@@ -503,13 +522,13 @@
                     owned.stage.value,
                     round(max(0.0, owned.lease_until - now), 3),
                     len(owned.open),
-                    max(0, owned.last - self.core.reached(book, most)),
+                    max(0, owned.last - self.core.copied_up_to(book, most)),
                     owned.config.witnesses,
                     tuple(
                         FollowerView(
                             f.name,
                             None if f.acked is None else owned.last - f.acked,
-                            len(f.fill),
+                            len(f.pending_fill),
                             round(now - f.heard_at, 3),
                         )
                         for f in followers
@@ -517,7 +536,9 @@
                 )
             )
         copies = [
-            CopyView(c.book, c.config.owner, c.term, len(c.live), c.size, c.sure, round(now - c.heard_at, 3))
+            CopyView(
+                c.book, c.config.owner, c.term, len(c.live), c.size, c.confirmed, round(now - c.heard_at, 3)
+            )
             for c in self.core.copies.values()
         ]
         return ReplicaView(
@@ -533,8 +554,8 @@
         )
 
 
-def over(record: Record) -> bool:
-    """Whether nothing is owed of a message behind this record."""
+def is_finished(record: Record) -> bool:
+    """Whether nothing remains to be done for a message after this record."""
     return isinstance(record, NoticeAnswered) or (
         isinstance(record, MessageEnded) and not record.owes_notice()
     )
--- a/willownotch/replica/simulated.py
+++ b/willownotch/replica/simulated.py
@@ -1,7 +1,7 @@
-"""Senders with custody in simulated time, beside the truth: a stand-in for tests and rigs.
+"""Simulates senders with custody for tests and benchmarks, and records what really happened to messages.
 
-The cores are the real ones. Journals, disks, membership and the network are played here: who is dead, stalled
-or cut off is held for gone by the others after `detect` seconds. The same seed gives the same story.
+The cores are the real ones; journals, disks, membership and the network are simulated. Members count as gone
+`detect` seconds after they died, stalled or were cut off. A run is determined by its seed.
 """
 
 from __future__ import annotations
@@ -32,60 +32,60 @@
 from willownotch.replica.terms import Term
 from willownotch.replica.wire import BookConfig
 
-BEGAN = datetime(2026, 1, 1, tzinfo=UTC)
+EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 DETECT_S = 1.0
 
 
 @dataclass
 class Disk:
-    """What outlasts a process."""
+    """State that survives the process."""
 
     terms: dict[str, Term] = field(default_factory=dict)
-    copies: dict[str, bytes] = field(default_factory=dict)  # as they are encoded
+    copies: dict[str, bytes] = field(default_factory=dict)  # encoded
     books: dict[str, tuple[BookConfig, int]] = field(default_factory=dict)
     live: dict[str, Entry] = field(default_factory=dict)
     order: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass
-class Try:
-    """A call that waits for its mark to be copied."""
+class PendingCall:
+    """A call that waits until the record of its start is copied."""
 
     ref: str
     number: int
-    at: int  # its record
+    at: int  # number of the record of its start
     book: str
 
 
 class Sender:
-    """One process: a core, a journal, and what a sender does with them."""
+    """One sender process: a core, a journal, and the calls it makes."""
 
-    def __init__(self, fleet: Fleet, name: str, life: int, disk: Disk) -> None:
-        self.fleet, self.name, self.life, self.disk = fleet, name, life, disk
+    def __init__(self, fleet: Fleet, name: str, uid: int, disk: Disk) -> None:
+        self.fleet, self.name, self.uid, self.disk = fleet, name, uid, disk
         self.core = cores.CustodyCore(
-            name, life, fleet.settings, fleet.now, Random(fleet.random.getrandbits(64)), self.snapshot
+            name, uid, fleet.settings, fleet.now, Random(fleet.random.getrandbits(64)), self.snapshot
         )
         self.last: dict[str, int] = {}
-        self.waiting: dict[str, tuple[str, int]] = {}  # ids whose clients wait: book, record
-        self.tries: list[Try] = []
-        self.ends: dict[str, tuple[str, int]] = {}  # ids whose notice waits
+        self.waiting: dict[str, tuple[str, int]] = {}  # ids whose clients wait for a 202: book, record
+        self.pending_calls: list[PendingCall] = []
+        self.pending_ends: dict[str, tuple[str, int]] = {}  # ids whose notices wait for copies: book, record
         self.stalled = False
-        self.held: list[wire.Message] = []  # came while it was stalled
+        self.stalled_messages: list[wire.Message] = []  # received while stalled
         self.lost: list[str] = []
-        owed: dict[str, dict[str, float]] = {}
+        outstanding: dict[str, dict[str, float]] = {}
         for ref, entry in disk.live.items():
             left = (entry.message.ends_at - fleet.wall(name)).total_seconds()
-            owed.setdefault(entry.message.custody.book, {})[ref] = left
+            outstanding.setdefault(entry.message.custody.book, {})[ref] = left
         kept = [read_copy(data) for data in disk.copies.values()]
-        self.core.restore(disk.terms.values(), kept, disk.books, owed)
+        self.core.restore(disk.terms.values(), kept, disk.books, outstanding)
 
-    def mine(self, ref: str) -> bool:
-        """Whether it may act on a message now."""
+    def may_act(self, ref: str) -> bool:
+        """Whether this sender may act on a message now."""
         entry = self.disk.live.get(ref)
         return entry is not None and self.core.leased(entry.message.custody.book, self.fleet.now)
 
     def snapshot(self, book: str) -> tuple[int, list[tuple[int, Entry]]]:
-        """A book as the journal has it."""
+        """Returns the number of a book's last record, and its entries, as the journal has them."""
         found = [
             (self.disk.order[ref], entry)
             for ref, entry in self.disk.live.items()
@@ -94,7 +94,7 @@
         return self.last.get(book, 0), sorted(found, key=lambda pair: pair[0])
 
     def write(self, book: str, records: list[Record]) -> int:
-        """Put records of one book into the journal, and have them copied; the last one's number."""
+        """Writes records of one book to the journal and replicates them; returns the last one's number."""
         opened, over = {}, []
         for record in records:
             self.last[book] = self.last.get(book, 0) + 1
@@ -105,15 +105,15 @@
             if isinstance(record, MessageEnded) and record.ref not in self.disk.live:
                 self.disk.order.pop(record.ref, None)
                 over.append(record.ref)
-        self.carry(self.core.wrote(self.fleet.now, book, tuple(map(frame, records)), opened, over))
+        self.carry_out(self.core.on_written(self.fleet.now, book, tuple(map(frame, records)), opened, over))
         return self.last[book]
 
     def accept(self, ref: str, wanted: int, span: float = 20.0) -> bool:
-        """A client hands a message in; whether it is under way to be taken on."""
-        book = self.core.usable(wanted, self.fleet.now)
+        """Takes a message from a client; returns False if it is rejected at once."""
+        book = self.core.usable_book(wanted, self.fleet.now)
         if book is None or ref in self.disk.live:
             return False
-        taken = AcceptedMessage(
+        message = AcceptedMessage(
             ref,
             7,
             "fee",
@@ -123,61 +123,61 @@
             body=b"body of " + ref.encode(),
             custody=Custody(book, wanted),
         )
-        self.waiting[ref] = book, self.write(book, [taken])
+        self.waiting[ref] = book, self.write(book, [message])
         return True
 
     def begin_call(self, ref: str) -> None:
-        """Mark a call, and make it once the mark is copied."""
+        """Records the start of a call, and makes the call once the record is copied."""
         entry = self.disk.live.get(ref)
-        if entry is None or ref in self.waiting or entry.ended is not None or not self.mine(ref):
+        if entry is None or ref in self.waiting or entry.ended is not None or not self.may_act(ref):
             return
         if any(entry.may_have_run(n) for n in range(entry.count())):
-            return  # of a class that must not run twice
+            return  # its class must not run twice
         number, book = entry.count(), entry.message.custody.book
         at = self.write(book, [RelayStarted(ref, number, self.fleet.wall(self.name), "h")])
-        self.tries.append(Try(ref, number, at, book))
+        self.pending_calls.append(PendingCall(ref, number, at, book))
 
     def give_up(self, ref: str) -> None:
-        """End a message by a notice, told once the end is copied."""
+        """Ends a message; its notice is sent once the end is copied."""
         entry = self.disk.live.get(ref)
-        if entry is not None and entry.ended is None and self.mine(ref) and ref not in self.waiting:
+        if entry is not None and entry.ended is None and self.may_act(ref) and ref not in self.waiting:
             book = entry.message.custody.book
-            self.ends[ref] = book, self.write(book, [MessageEnded(ref, "given_up")])
+            self.pending_ends[ref] = book, self.write(book, [MessageEnded(ref, "given_up")])
 
-    def settle(self) -> None:
-        """What waited for copies and has them."""
+    def finish_copied(self) -> None:
+        """Finishes promises, calls and notices that waited for copies and have them."""
         now = self.fleet.now
         for ref, (book, at) in list(self.waiting.items()):
             entry = self.disk.live.get(ref)
             if (
                 entry is not None
                 and self.core.leased(book, now)
-                and (self.core.reached(book, entry.message.custody.acks) >= at)
+                and (self.core.copied_up_to(book, entry.message.custody.acks) >= at)
             ):
                 self.fleet.promised[ref] = self.name
                 del self.waiting[ref]
-        for one in list(self.tries):
-            entry = self.disk.live.get(one.ref)
+        for call in list(self.pending_calls):
+            entry = self.disk.live.get(call.ref)
             if entry is None:
-                self.tries.remove(one)
-            elif self.core.leased(one.book, now) and (
-                self.core.reached(one.book, entry.message.custody.acks) >= one.at
+                self.pending_calls.remove(call)
+            elif self.core.leased(call.book, now) and (
+                self.core.copied_up_to(call.book, entry.message.custody.acks) >= call.at
             ):
-                self.tries.remove(one)
-                self.fleet.calls.setdefault(one.ref, []).append((self.name, now))
-                self.write(one.book, [RelayFailed(one.ref, one.number, True)])
-                self.write(one.book, [MessageEnded(one.ref, "delivered")])
-        for ref, (book, at) in list(self.ends.items()):
+                self.pending_calls.remove(call)
+                self.fleet.calls.setdefault(call.ref, []).append((self.name, now))
+                self.write(call.book, [RelayFailed(call.ref, call.number, True)])
+                self.write(call.book, [MessageEnded(call.ref, "delivered")])
+        for ref, (book, at) in list(self.pending_ends.items()):
             entry = self.disk.live.get(ref)
             wanted = entry.message.custody.acks if entry is not None else 1
-            if self.core.leased(book, now) and self.core.reached(book, wanted) >= at:
-                del self.ends[ref]
+            if self.core.leased(book, now) and self.core.copied_up_to(book, wanted) >= at:
+                del self.pending_ends[ref]
                 self.fleet.told.setdefault(ref, []).append(self.name)
                 if entry is not None:
                     self.write(book, [MessageEnded(ref, "withdrawn")])  # its notice was answered
 
-    def carry(self, actions: list[cores.Action]) -> None:
-        """Carry actions out, in their order."""
+    def carry_out(self, actions: list[cores.Action]) -> None:
+        """Carries out actions in order."""
         for action in actions:
             if isinstance(action, cores.Send):
                 self.fleet.post(self.name, action.to, action.message)
@@ -193,7 +193,7 @@
                 if action.config is not None:
                     self.disk.books[action.book] = action.config, action.term
             elif isinstance(action, cores.Acquired):
-                self._won(action)
+                self._acquire(action)
             elif isinstance(action, cores.Lost):
                 self.lost.append(action.book)
                 self._forget(action.book)
@@ -206,29 +206,29 @@
             del self.disk.live[ref]
             self.disk.order.pop(ref, None)
             self.waiting.pop(ref, None)
-        self.tries = [one for one in self.tries if one.book != book]
-        self.ends = {ref: end for ref, end in self.ends.items() if end[0] != book}
-
-    def _won(self, won: cores.Acquired) -> None:
-        self.fleet.holders.setdefault((won.book, won.term), []).append(self.name)
-        self._forget(won.book)
-        self.last[won.book] = won.last
-        for order, entry in won.entries:
+        self.pending_calls = [call for call in self.pending_calls if call.book != book]
+        self.pending_ends = {ref: end for ref, end in self.pending_ends.items() if end[0] != book}
+
+    def _acquire(self, acquired: cores.Acquired) -> None:
+        self.fleet.holders.setdefault((acquired.book, acquired.term), []).append(self.name)
+        self._forget(acquired.book)
+        self.last[acquired.book] = acquired.last
+        for order, entry in acquired.entries:
             ref = entry.message.ref
-            if not won.is_complete(entry.message.custody.acks) and entry.ended is None:
+            if not acquired.is_complete(entry.message.custody.acks) and entry.ended is None:
                 entry.started[entry.count()] = RelayStarted(
                     ref, entry.count(), self.fleet.wall(self.name), "?"
                 )
             self.disk.live[ref], self.disk.order[ref] = entry, order
             if entry.ended is not None:
-                self.ends[ref] = won.book, won.last
-        self.fleet.adopted[won.book] = (won.term, [e.message.ref for _, e in won.entries])
-        refs = {e.message.ref: e.message.ends_at for _, e in won.entries}
-        self.carry(self.core.adopted(self.fleet.now, won.book, refs))
+                self.pending_ends[ref] = acquired.book, acquired.last
+        self.fleet.adopted[acquired.book] = (acquired.term, [e.message.ref for _, e in acquired.entries])
+        refs = {e.message.ref: e.message.ends_at for _, e in acquired.entries}
+        self.carry_out(self.core.on_adopted(self.fleet.now, acquired.book, refs))
 
 
 def write_copy(copy: Copy) -> bytes:
-    """A copy as its file would have it."""
+    """Encodes a copy."""
     return msgspec.msgpack.encode(
         [
             copy.book,
@@ -241,15 +241,19 @@
 
 
 def read_copy(data: bytes) -> Copy:
-    """And back."""
+    """Decodes a copy."""
     book, config, term, position, entries = msgspec.msgpack.decode(data)
     copy = Copy(book, msgspec.convert(config, BookConfig), term, tuple(position))
-    copy.put(entries)
+    copy.put_entries(entries)
     return copy
 
 
 class Fleet:
-    """All senders, the network between them, and what really happened."""
+    """All senders, the network between them, and a record of promises, calls and notices.
+
+    `promised`, `told` and `expired` name the senders that answered 202, sent a notice and reported an expiry,
+    by message id; `holders` names those that acquired a book at a term.
+    """
 
     def __init__(
         self,
@@ -260,54 +264,58 @@
         durable: bool = True,
     ) -> None:
         self.random, self.settings, self.detect, self.durable = Random(seed), settings, detect, durable
-        self.now, self._count, self._lives = 0.0, 0, 0
+        self.now, self._count, self._process_count = 0.0, 0, 0
         self.delay, self.loss = 0.002, 0.0
         self.cut: Callable[[str, str], bool] = lambda source, target: False
-        self.around: Callable[[str, str], bool] = lambda observer, name: False  # known by way of others
+        self.reaches_indirectly: Callable[[str, str], bool] = (
+            lambda observer, name: False
+        )  # membership hears of it through others
         self.senders: dict[str, Sender] = {}
         self.disks: dict[str, Disk] = {}
-        self.skew: dict[str, float] = {}  # s that a member's time of day is off
+        self.skew: dict[str, float] = {}  # seconds that a member's time of day is off
         self.promised: dict[str, str] = {}
         self.calls: dict[str, list[tuple[str, float]]] = {}
         self.told: dict[str, list[str]] = {}
         self.expired: dict[str, list[str]] = {}
         self.holders: dict[tuple[str, int], list[str]] = {}
         self.adopted: dict[str, tuple[int, list[str]]] = {}
-        self.bytes: dict[str, int] = {}  # sent, by kind of frame
+        self.bytes: dict[str, int] = {}  # bytes sent, by type of frame
         self._queue: list[tuple[float, int, str, wire.Message]] = []
-        self._gone_at: dict[tuple[str, str], float] = {}  # observer, member
-        self._known: tuple = ()  # what `_there` goes by, when it last changed
-        self._known_at = 0.0
+        self._unheard_since: dict[tuple[str, str], float] = {}  # by observer and member
+        self._network_state: tuple = ()  # input of `_alive_members`
+        self._network_changed_at = 0.0
         for name in names:
             self.start(name)
 
     def wall(self, name: str) -> datetime:
-        """A member's time of day."""
-        return BEGAN + timedelta(seconds=self.now + self.skew.get(name, 0.0))
+        """Returns a member's time of day."""
+        return EPOCH + timedelta(seconds=self.now + self.skew.get(name, 0.0))
 
     def start(self, name: str) -> Sender:
-        """Start a process; its disk is the one that is there, or a new one."""
-        self._lives += 1
-        sender = self.senders[name] = Sender(self, name, self._lives, self.disks.setdefault(name, Disk()))
+        """Starts a process on its existing disk, or on a new one."""
+        self._process_count += 1
+        sender = self.senders[name] = Sender(
+            self, name, self._process_count, self.disks.setdefault(name, Disk())
+        )
         return sender
 
     def kill(self, name: str, disk: bool = False) -> None:
-        """SIGKILL; with its disk, if so."""
+        """Kills a process, and with `disk` loses its disk."""
         self.senders.pop(name, None)
         if disk:
             self.disks.pop(name, None)
 
     def stall(self, name: str, stalled: bool = True) -> None:
-        """SIGSTOP, and SIGCONT."""
+        """Stops a process, or with `stalled` False lets it continue."""
         sender = self.senders[name]
         sender.stalled = stalled
         if not stalled:
-            held, sender.held = sender.held, []
-            for message in held:
-                sender.carry(sender.core.receive(self.now, self.wall(name), message))
+            stalled_messages, sender.stalled_messages = sender.stalled_messages, []
+            for message in stalled_messages:
+                sender.carry_out(sender.core.receive(self.now, self.wall(name), message))
 
     def post(self, source: str, target: str, message: wire.Message) -> None:
-        """Send a frame."""
+        """Sends a frame, which may be lost."""
         kind = type(message).__name__
         self.bytes[kind] = self.bytes.get(kind, 0) + len(wire.encode(message))
         if self.cut(source, target) or self.random.random() < self.loss:
@@ -316,26 +324,27 @@
         at = self.now + self.delay * self.random.uniform(0.5, 1.5)
         heapq.heappush(self._queue, (at, self._count, target, message))
 
-    def _there(self, observer: str) -> dict[str, int]:
+    def _alive_members(self, observer: str) -> dict[str, int]:
         found = {}
         for name, sender in self.senders.items():
             if name == observer:
                 continue
             heard = not sender.stalled and (
-                self.around(observer, name) or not (self.cut(name, observer) or self.cut(observer, name))
+                self.reaches_indirectly(observer, name)
+                or not (self.cut(name, observer) or self.cut(observer, name))
             )
             if heard:
-                self._gone_at.pop((observer, name), None)
-            gone_at = self._gone_at.setdefault((observer, name), self.now) if not heard else self.now
+                self._unheard_since.pop((observer, name), None)
+            gone_at = self._unheard_since.setdefault((observer, name), self.now) if not heard else self.now
             if self.now - gone_at < self.detect:
-                found[name] = sender.life
+                found[name] = sender.uid
         return found
 
     def run(self, span: float, step: float = 0.05) -> None:
-        """Let time pass."""
-        ends = self.now + span
-        while self.now < ends - 1e-9:
-            until = min(ends, self.now + step)
+        """Advances the simulated time by `span` seconds."""
+        pending_ends = self.now + span
+        while self.now < pending_ends - 1e-9:
+            until = min(pending_ends, self.now + step)
             while self._queue and self._queue[0][0] <= until:
                 at, _, target, message = heapq.heappop(self._queue)
                 self.now = max(self.now, at)
@@ -343,34 +352,39 @@
                 if sender is None:
                     continue
                 if sender.stalled:
-                    sender.held.append(message)
+                    sender.stalled_messages.append(message)
                     continue
-                sender.carry(sender.core.receive(self.now, self.wall(target), message))
+                sender.carry_out(sender.core.receive(self.now, self.wall(target), message))
             self.now = until
-            known = self.cut, self.around, [(name, s.life, s.stalled) for name, s in self.senders.items()]
-            if known != self._known:
-                self._known, self._known_at = known, self.now
-            news = self.now - self._known_at <= self.detect + 2 * step
+            known = (
+                self.cut,
+                self.reaches_indirectly,
+                [(name, s.uid, s.stalled) for name, s in self.senders.items()],
+            )
+            if known != self._network_state:
+                self._network_state, self._network_changed_at = known, self.now
+            membership_changed = self.now - self._network_changed_at <= self.detect + 2 * step
             for name, sender in list(self.senders.items()):
                 if not sender.stalled:
-                    if news:
-                        sender.carry(sender.core.members(self.now, self._there(name)))
-                    sender.carry(sender.core.tick(self.now, self.wall(name)))
-                    sender.settle()
-
-    def until(self, condition: Callable[[], bool], most: float = 30.0) -> float:
-        """Run until a condition holds; the time it took, or `AssertionError`."""
+                    if membership_changed:
+                        sender.carry_out(sender.core.members(self.now, self._alive_members(name)))
+                    sender.carry_out(sender.core.tick(self.now, self.wall(name)))
+                    sender.finish_copied()
+
+    def until(self, condition: Callable[[], bool], max_s: float = 30.0) -> float:
+        """Runs until a condition holds; returns the seconds it took, or raises `AssertionError` after
+        `max_s`."""
         began = self.now
         while not condition():
-            if self.now - began > most:
-                raise AssertionError(f"not within {most} s of simulated time")
+            if self.now - began > max_s:
+                raise AssertionError(f"not within {max_s} s of simulated time")
             self.run(0.05)
         return self.now - began
 
     def ready(self, wanted: int) -> bool:
-        """Whether every running sender can take messages on."""
-        return all(s.core.usable(wanted, self.now) for s in self.senders.values() if not s.stalled)
+        """Whether every running sender can accept messages with `wanted` copies."""
+        return all(s.core.usable_book(wanted, self.now) for s in self.senders.values() if not s.stalled)
 
     def holds(self, ref: str) -> list[str]:
-        """Senders that own the message's book and have it in their journals."""
-        return [n for n, s in self.senders.items() if not s.stalled and s.mine(ref)]
+        """Returns the senders that own the message's book and have the message in their journals."""
+        return [n for n, s in self.senders.items() if not s.stalled and s.may_act(ref)]
--- a/willownotch/replica/store.py
+++ b/willownotch/replica/store.py
@@ -1,8 +1,8 @@
-"""Copies, terms and books in the folder that lasts: one log, appended to once a round, written anew when most
-of it is over.
+"""Stores copies, terms and books in one log file, which is appended to once a round and rewritten when most
+of it is obsolete.
 
-A record is framed as magic, length, checksum, body, as the journal's are; a torn tail is passed over. Its
-room comes from the folder's one limit, and is claimed before a byte is written.
+A record is framed like the journal's, as magic, length, checksum and body; a torn tail is skipped. Disk space
+counts against the state folder's limit and is claimed before anything is written.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from willownotch.replica.terms import Term
 from willownotch.replica.wire import BookConfig, Position
 
-NAME, NEW_NAME = "custody", "custody.new"
+FILE_NAME, NEW_FILE_NAME = "custody", "custody.new"
 MAGIC = b"wnC1"
-SLACK = 64 * 1024  # bytes of records that are over, beyond as many as are not, before a new file is written
+REWRITE_SLACK_BYTES = 64 * 1024  # obsolete bytes, beyond as many live ones, that start a rewrite
 
 
-class WholeCopy(msgspec.Struct, tag="whole", frozen=True, array_like=True):
-    """A copy as it stood."""
+class CopySnapshot(msgspec.Struct, tag="whole", frozen=True, array_like=True):
+    """A whole copy."""
 
     book: str
     config: BookConfig
@@ -36,47 +36,47 @@
     entries: tuple[tuple[int, bytes], ...]
 
 
-class MoreOfCopy(msgspec.Struct, tag="more", frozen=True, array_like=True):
-    """Records that were added to a copy, and where it stood then."""
+class CopyAppend(msgspec.Struct, tag="more", frozen=True, array_like=True):
+    """Records appended to a copy, and the position that they bring it to."""
 
     book: str
     position: Position
     frames: tuple[bytes, ...]
 
 
-class NoCopy(msgspec.Struct, tag="gone", frozen=True, array_like=True):
-    """A copy is no more."""
+class CopyRemoved(msgspec.Struct, tag="gone", frozen=True, array_like=True):
+    """A copy was dropped."""
 
     book: str
 
 
-class TermKept(msgspec.Struct, tag="term", frozen=True, array_like=True):
-    """What was granted of a book."""
+class TermRecord(msgspec.Struct, tag="term", frozen=True, array_like=True):
+    """A term granted by this member as a witness."""
 
     term: Term
 
 
-class BookKept(msgspec.Struct, tag="book", frozen=True, array_like=True):
-    """A book that this sender owns."""
+class BookRecord(msgspec.Struct, tag="book", frozen=True, array_like=True):
+    """A book that this sender owns; `config` None: it owns the book no more."""
 
     book: str
     config: BookConfig | None
     term: int
 
 
-Record = WholeCopy | MoreOfCopy | NoCopy | TermKept | BookKept
+Record = CopySnapshot | CopyAppend | CopyRemoved | TermRecord | BookRecord
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Record).decode
 
 
-def frame(record: Record) -> bytes:
-    """A record as it stands in the file."""
+def encode_record(record: Record) -> bytes:
+    """Encodes a record with its frame."""
     body = _encode(record)
     return FRAME.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def read(data: bytes) -> tuple[list[Record], int]:
-    """The records of a file, and how many bytes were none."""
+def read_records(data: bytes) -> tuple[list[Record], int]:
+    """Returns the records of a file, and the number of damaged bytes skipped."""
     found, at, lost = [], 0, 0
     while at < len(data):
         magic, length, checksum = FRAME.unpack_from(data, at) if at + FRAME.size <= len(data) else (b"", 0, 0)
@@ -95,88 +95,94 @@
 
 
 class Store:
-    """The log. One thread calls it."""
+    """The log file. Not thread-safe: only the custody thread calls it."""
 
     def __init__(self, folder: Path, files: Files, space: Space, say: Callable[[str], None]) -> None:
-        self.folder, self.path, self.files, self.space, self.say = folder, folder / NAME, files, space, say
+        self.folder, self.path, self.files, self.space, self.say = (
+            folder,
+            folder / FILE_NAME,
+            files,
+            space,
+            say,
+        )
         self.terms: dict[str, Term] = {}
         self.books: dict[str, tuple[BookConfig, int]] = {}
-        self.copies: dict[str, Copy] = {}  # those of the core, once it has them
-        self.size = self.live = 0
+        self.copies: dict[str, Copy] = {}  # shared with the core after it has restored them
+        self.size = self.live_bytes = 0
         self._file = -1
-        self._claimed = 0  # as the folder's limit counts the file
+        self._claimed_bytes = 0  # of the folder's limit, in whole blocks
 
     def open(self) -> None:
-        """Read what is there, and write it anew; `OSError` if the folder cannot be written."""
-        self.files.remove(self.folder / NEW_NAME)
+        """Reads the file and rewrites it; raises `OSError` if the folder cannot be written."""
+        self.files.remove(self.folder / NEW_FILE_NAME)
         try:
             data = self.files.read_whole(self.path)
         except FileNotFoundError:
             data = b""
-        records, lost = read(data)
+        records, lost = read_records(data)
         if lost:
-            self.say(f"{lost} bytes of the custody file are torn or damaged and were passed over")
+            self.say(f"{lost} bytes of the custody file are torn or damaged and were skipped")
         for record in records:
             self._replay(record)
-        self._claimed, self.size = round_to_blocks(len(data)), len(data)
-        self.space.settle(0, self._claimed)
+        self._claimed_bytes, self.size = round_to_blocks(len(data)), len(data)
+        self.space.settle(0, self._claimed_bytes)
         self._rewrite()
 
     def _replay(self, record: Record) -> None:
-        if isinstance(record, TermKept):
+        if isinstance(record, TermRecord):
             self.terms[record.term.book] = record.term
-        elif isinstance(record, BookKept):
+        elif isinstance(record, BookRecord):
             self.books.pop(record.book, None)
             if record.config is not None:
                 self.books[record.book] = record.config, record.term
-        elif isinstance(record, NoCopy):
+        elif isinstance(record, CopyRemoved):
             self.copies.pop(record.book, None)
-        elif isinstance(record, WholeCopy):
+        elif isinstance(record, CopySnapshot):
             copy = self.copies[record.book] = Copy(record.book, record.config, record.term, record.position)
-            copy.put(record.entries)
+            copy.put_entries(record.entries)
         elif (copy := self.copies.get(record.book)) is not None:
-            copy.add(record.frames, record.position)
+            copy.add_frames(record.frames, record.position)
 
     def forget(self, books: list[str]) -> None:
-        """Grants that nobody will ask for again go when the file is next written anew."""
+        """Drops terms that no member will claim again; they leave the file with the next rewrite."""
         for book in books:
             self.terms.pop(book, None)
 
-    def keep(self, actions: list[core.StoreTerm | core.StoreCopy | core.StoreBook]) -> bool:
-        """Put a round's changes into the file by one write; False if it could not be."""
+    def write(self, actions: list[core.StoreTerm | core.StoreCopy | core.StoreBook]) -> bool:
+        """Appends a round's changes in one write; returns False if that failed."""
         records: list[Record] = []
-        # A copy is written as it stands after the round, so what was added to it in the round is in that.
+        # A snapshot is taken after the round, so it contains the records appended to the copy in the round.
         whole = {a.book for a in actions if isinstance(a, core.StoreCopy) and a.copy and a.frames is None}
         for action in actions:
             if isinstance(action, core.StoreTerm):
                 self.terms[action.term.book] = action.term
-                records.append(TermKept(action.term))
+                records.append(TermRecord(action.term))
             elif isinstance(action, core.StoreBook):
                 self.books.pop(action.book, None)
                 if action.config is not None:
                     self.books[action.book] = action.config, action.term
-                records.append(BookKept(action.book, action.config, action.term))
+                records.append(BookRecord(action.book, action.config, action.term))
             elif action.copy is None:
                 self.copies.pop(action.book, None)
-                records.append(NoCopy(action.book))
+                records.append(CopyRemoved(action.book))
             elif action.book not in whole:
-                records.append(MoreOfCopy(action.book, action.position, action.frames))
+                records.append(CopyAppend(action.book, action.position, action.frames))
             elif action.frames is None:
                 self.copies[action.book] = action.copy
-                records.append(self._whole(action.copy))
-        return self._append(b"".join(map(frame, records)))
+                records.append(self._snapshot(action.copy))
+        return self._append(b"".join(map(encode_record, records)))
 
     @staticmethod
-    def _whole(copy: Copy) -> WholeCopy:
+    def _snapshot(copy: Copy) -> CopySnapshot:
         entries = tuple((order, copies.pack(entry)) for order, entry in copy.entries())
-        return WholeCopy(copy.book, copy.config, copy.term, copy.position, entries)
+        return CopySnapshot(copy.book, copy.config, copy.term, copy.position, entries)
 
     def _append(self, data: bytes) -> bool:
         try:
-            if self.size + len(data) > 2 * self.live + SLACK:
-                self._rewrite()  # what is to be added is live here already
+            if self.size + len(data) > 2 * self.live_bytes + REWRITE_SLACK_BYTES:
+                self._rewrite()  # the rewrite contains the new records already
                 return True
-            if not self._claim(self.size + len(data)):
+            if not self._claim_space(self.size + len(data)):
                 return False
             self.files.append_all(self._file, data)
             self.size += len(data)
@@ -186,28 +192,28 @@
             try:
                 self.files.truncate(self._file, self.size)
             except OSError:
-                pass  # read again, a torn tail is passed over
+                pass  # a torn tail is skipped when the file is read
             return False
 
-    def _claim(self, size: int) -> bool:
-        """Have so many bytes for the file; what it has already counts."""
-        more = round_to_blocks(size) - self._claimed
+    def _claim_space(self, size: int) -> bool:
+        """Claims disk space for a file of `size` bytes; returns False if there is none."""
+        more = round_to_blocks(size) - self._claimed_bytes
         if more > 0 and not self.space.claim(more):
             return False
         if more > 0:
             self.space.settle(more, more)
-            self._claimed += more
+            self._claimed_bytes += more
         return True
 
     def _rewrite(self) -> None:
-        records: list[Record] = [TermKept(term) for term in self.terms.values()]
-        records += [BookKept(book, config, term) for book, (config, term) in self.books.items()]
-        records += [self._whole(copy) for copy in self.copies.values()]
-        data = b"".join(map(frame, records))
+        records: list[Record] = [TermRecord(term) for term in self.terms.values()]
+        records += [BookRecord(book, config, term) for book, (config, term) in self.books.items()]
+        records += [self._snapshot(copy) for copy in self.copies.values()]
+        data = b"".join(map(encode_record, records))
         grown = round_to_blocks(len(data))
         if not self.space.claim(grown):
-            raise OSError("no room to write it anew")
-        new = self.folder / NEW_NAME
+            raise OSError("no space to rewrite it")
+        new = self.folder / NEW_FILE_NAME
         try:
             file = self.files.create(new)
         except OSError:
@@ -223,5 +229,5 @@
         if self._file >= 0:
             self.files.close(self._file)
         self.space.settle(grown, grown)
-        self.space.freed(self._claimed)
-        self._file, self.size, self.live, self._claimed = file, len(data), len(data), grown
+        self.space.freed(self._claimed_bytes)
+        self._file, self.size, self.live_bytes, self._claimed_bytes = file, len(data), len(data), grown
--- a/willownotch/replica/terms.py
+++ b/willownotch/replica/terms.py
@@ -1,8 +1,8 @@
-"""A witness's register: who owns which book, at which term, until when. No I/O, no clock.
+"""A witness's register of books: owner, term and lease of each. Performs no I/O and reads no clock.
 
-Terms are granted by the same rule as leases; what comes with one here is the set of replicas. What it
-answers must be in the folder first: a grant that is forgotten could be given twice. Leases are not kept:
-after a restart each may still run for its whole span.
+Terms are granted by the rule for leases, together with a replica set. A grant must be stored before it is
+answered, since a forgotten one could be given twice. Lease ends are not stored: after a restart each lease is
+assumed to run for its whole duration.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from willownotch.lease.register import GrantRequest, GrantTable
 from willownotch.replica.wire import BookConfig, Claim, Granted, Refused
 
-BOOKS_MOST = 8192  # kept at the most; of those that are over, the oldest go first
-KEEP_S = 3600.0  # s that a book is kept after its last lease
-NOBODY = BookConfig("", 0, 0, (), ())
+MAX_BOOKS = 8192  # above this, closed books are dropped, then finished ones, oldest first
+KEEP_FINISHED_S = 3600.0  # after the end of a book's last lease
+NO_OWNER = BookConfig("", 0, 0, (), ())
 
 
 class Term(msgspec.Struct, frozen=True, array_like=True):
-    """What the register keeps of a book."""
+    """What the register stores for a book."""
 
     book: str
     term: int
@@ -26,67 +26,69 @@
     closed: bool = False
 
 
-class Register:
-    """The books that this member is a witness of. `began` is the start of this process."""
+class TermRegister:
+    """The books that this member is a witness of. `began` is the start time of this process."""
 
     def __init__(self, began: float, span: float) -> None:
         self.grants = GrantTable(began, span)
-        self.held: dict[str, Term] = {}
+        self.terms: dict[str, Term] = {}
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.terms)
 
     def restore(self, held: Term) -> None:
-        """What the folder has. Its lease may have been granted a moment before the end."""
-        self.held[held.book] = held
-        self.grants.restore(held.book, held.term, held.config.owner, held.config.life, held.closed)
+        """Restores a stored term. Its lease may have been granted just before the process ended."""
+        self.terms[held.book] = held
+        self.grants.restore(held.book, held.term, held.config.owner, held.config.uid, held.closed)
 
     def claim(self, now: float, claim: Claim) -> tuple[Granted | Refused, Term | None]:
-        """The answer to a claim, and what must be in the folder before it is given."""
+        """Returns the reply to a claim, and the term to store before the reply is sent (None: nothing
+        changed)."""
         config = claim.config
-        held = self.held.get(claim.book) or Term(claim.book, 0, NOBODY)
+        held = self.terms.get(claim.book) or Term(claim.book, 0, NO_OWNER)
         wanted = GrantRequest(
-            claim.term, config.owner, config.life, claim.span_ms / 1000, claim.release, claim.closed
+            claim.term, config.owner, config.uid, claim.lease_ms / 1000, claim.release, claim.closed
         )
-        # Its first owner may have it at once: nobody else knows of it.
+        # Term 1 needs no wait after a restart: only the book's first owner can claim it.
         if self.grants.ask(now, claim.book, wanted, new=claim.term == 1) is None:
             left = round(self.grants.left(now, claim.book) * 1000)
             refused = Refused(
                 "",
                 claim.book,
-                claim.number,
+                claim.round_number,
                 held.term,
                 held.config.owner,
-                held.config.life,
+                held.config.uid,
                 left,
                 held.closed,
             )
             return refused, None
-        if config.version < held.config.version:  # the set that is on record stays
+        if config.version < held.config.version:  # keep the replica set on record
             config = msgspec.structs.replace(
                 config, version=held.config.version, replicas=held.config.replicas
             )
-        fresh = self.held[claim.book] = Term(claim.book, claim.term, config, claim.closed)
+        granted_term = self.terms[claim.book] = Term(claim.book, claim.term, config, claim.closed)
         self._trim(now)
-        granted = Granted("", claim.book, claim.term, claim.number, config.version, config.replicas)
-        return granted, fresh if fresh != held else None
+        granted = Granted("", claim.book, claim.term, claim.round_number, config.version, config.replicas)
+        return granted, granted_term if granted_term != held else None
 
-    def over(self, now: float) -> list[str]:
-        """Books that nobody will ask for again, the oldest first."""
-        ends = sorted((self.grants.grants[book].until, book) for book in self.held)
-        return [book for until, book in ends if now - until > KEEP_S]
+    def finished_books(self, now: float) -> list[str]:
+        """Returns the books whose last lease ended long ago, oldest first; no member will claim them
+        again."""
+        ends = sorted((self.grants.grants[book].until, book) for book in self.terms)
+        return [book for until, book in ends if now - until > KEEP_FINISHED_S]
 
     def forget(self, books: list[str]) -> None:
-        """Drop these."""
+        """Drops these books."""
         for book in books:
-            self.held.pop(book, None)
+            self.terms.pop(book, None)
             self.grants.forget(book)
 
     def _trim(self, now: float) -> None:
-        if len(self.held) > BOOKS_MOST:
-            closed = [book for book, term in self.held.items() if term.closed]
-            self.forget((closed + self.over(now))[: len(self.held) - BOOKS_MOST])
+        if len(self.terms) > MAX_BOOKS:
+            closed = [book for book, term in self.terms.items() if term.closed]
+            self.forget((closed + self.finished_books(now))[: len(self.terms) - MAX_BOOKS])
 
     def term(self, book: str) -> int:
-        """The highest term granted here."""
+        """Returns the highest term granted here for a book."""
         return self.grants.token(book)
--- a/willownotch/replica/wire.py
+++ b/willownotch/replica/wire.py
@@ -1,6 +1,7 @@
-"""What senders say to each other about custody. Plain values; bytes by msgspec's msgpack, sealed by the edge.
+"""Messages that senders exchange to replicate books: plain values, encoded with msgpack, sealed by the
+transport.
 
-Every message may be lost, late or repeated: a connection that breaks takes with it what was on its way.
+Each message may be lost, late or repeated, since a broken connection loses what was in flight.
 """
 
 from __future__ import annotations
@@ -9,73 +10,75 @@
 
 import msgspec
 
-VERSION = 17  # of sealed frames with these messages
+VERSION = 17  # protocol version of sealed frames that carry these messages
 
-Position = tuple[int, int]  # of a log: the term and the number of its last record
-START: Position = (0, 0)
+Position = tuple[int, int]  # position in a book's log: term and number of the last record
+LOG_START: Position = (0, 0)
 
 
 class BookConfig(msgspec.Struct, frozen=True, array_like=True):
-    """What a book is, as its owner has it. The witnesses stay for as long as the book does."""
+    """A book's owner, replicas and witnesses, as its owner has them. Witnesses never change during a book's
+    life."""
 
     owner: str
-    life: int  # of the owner's process
-    version: int  # of the set of replicas
+    uid: int  # random id of the owner's process
+    version: int  # version of the replica set
     replicas: tuple[str, ...]
     witnesses: tuple[str, ...]
 
 
 class Claim(msgspec.Struct, tag=1, frozen=True, array_like=True):
-    """To a witness: let me own this book at this term, for so long. `release`: I am done with it."""
+    """Asks a witness for the lease of a book at a term, or gives it up (`release`)."""
 
     source: str
     book: str
     term: int
-    config: BookConfig  # with version 0, the set of replicas is to stay as it is
-    span_ms: int
-    number: int  # of the round of claims, told back
+    config: BookConfig  # version 0: keep the replica set that is on record
+    lease_ms: int
+    round_number: int  # number of the claim round, repeated in the reply
     release: bool = False
-    closed: bool = False  # the book is empty and will stay so
+    closed: bool = False  # the book is empty and takes no more messages
 
 
 class Granted(msgspec.Struct, tag=2, frozen=True, array_like=True):
-    """It is yours; what the witness holds of the set of replicas."""
+    """A witness grants a claim. Carries the replica set that it has on record."""
 
     source: str
     book: str
     term: int
-    number: int
+    round_number: int
     version: int
     replicas: tuple[str, ...]
 
 
 class Refused(msgspec.Struct, tag=3, frozen=True, array_like=True):
-    """It is not: who has it, at which term, and how long that may last."""
+    """A witness refuses a claim. Carries the current owner, its term and the rest of its lease."""
 
     source: str
     book: str
-    number: int
+    round_number: int
     term: int
     owner: str
-    life: int
+    uid: int
     left_ms: int
     closed: bool
 
 
 class Append(msgspec.Struct, tag=4, frozen=True, array_like=True):
-    """To a replica: records that follow on a position; none, to ask where it is. `now` is the owner's."""
+    """Sends a replica the records that follow a position. Without records it asks for the replica's
+    position."""
 
     source: str
     book: str
     term: int
     previous: Position
     frames: tuple[bytes, ...]
-    now: datetime
-    config: BookConfig | None = None  # with the first ones, and from time to time
+    sender_time: datetime
+    config: BookConfig | None = None  # with the first records and with probes
 
 
 class Acked(msgspec.Struct, tag=5, frozen=True, array_like=True):
-    """I hold the log up to here."""
+    """A replica holds the log up to this position."""
 
     source: str
     book: str
@@ -84,33 +87,34 @@
 
 
 class Behind(msgspec.Struct, tag=6, frozen=True, array_like=True):
-    """I cannot take it: I am here, and hold this in each range."""
+    """A replica cannot apply records: its position, and a digest of the entries in each range."""
 
     source: str
     book: str
     term: int
     position: Position
-    digests: tuple[int, ...]  # none: I hold nothing
+    digests: tuple[int, ...]  # empty: the replica has no copy
 
 
 class Fill(msgspec.Struct, tag=7, frozen=True, array_like=True):
-    """One part of what is to stand in some ranges, as of a position."""
+    """One part of the entries that replace those of some ranges and bring a replica to a position."""
 
     source: str
     book: str
     term: int
     position: Position
-    told: Position  # where the replica said it was
-    ranges: int  # a bit for each
+    reported_position: Position  # position that the replica reported
+    ranges: int  # bit mask of the replaced ranges
     part: int
     parts: int
-    entries: tuple[tuple[int, bytes], ...]  # place in the order, records
-    now: datetime
+    entries: tuple[tuple[int, bytes], ...]  # place in the book's order, encoded records
+    sender_time: datetime
     config: BookConfig
 
 
-class Higher(msgspec.Struct, tag=8, frozen=True, array_like=True):
-    """Your term is over: a higher one is known here. Or, of an owner that is asked: mine is."""
+class Superseded(msgspec.Struct, tag=8, frozen=True, array_like=True):
+    """The receiver's term has ended because a higher one is known, or the sender of this owns the book no
+    more."""
 
     source: str
     book: str
@@ -118,31 +122,31 @@
 
 
 class Fetch(msgspec.Struct, tag=9, frozen=True, array_like=True):
-    """I own this book from this term on: take nothing of a lower one, and give me what you hold of it."""
+    """The new owner of a book asks for its contents. The receiver then accepts nothing of a lower term."""
 
     source: str
     book: str
     term: int
 
 
-class Held(msgspec.Struct, tag=10, frozen=True, array_like=True):
-    """One part of what is held of a book, in its order."""
+class Contents(msgspec.Struct, tag=10, frozen=True, array_like=True):
+    """One part of what a member holds of a book, in the book's order. Answers a fetch."""
 
     source: str
     book: str
-    term: int  # that it was fetched for
+    term: int  # term of the fetch
     position: Position
-    sure: bool  # an owner has confirmed the position since this process began
-    known: bool  # there is a copy at all
+    confirmed: bool  # an owner has confirmed the position since this process started
+    has_copy: bool  # False: the member has no copy
     part: int
     parts: int
     entries: tuple[tuple[int, bytes], ...]
-    now: datetime  # by the clock that the entries' times are of
-    refs: tuple[tuple[str, int], ...] = ()  # of a keeper: ids that are owed, and ms until their deadlines
+    sender_time: datetime  # by the clock that the entries' times refer to
+    refs: tuple[tuple[str, int], ...] = ()  # from an id holder: outstanding ids, ms until their deadlines
 
 
 class Close(msgspec.Struct, tag=11, frozen=True, array_like=True):
-    """Drop what you hold of this book: you are no replica of it any more, or it is over."""
+    """Tells a replica to drop its copy: it is no replica of the book any more, or the book is closed."""
 
     source: str
     book: str
@@ -150,24 +154,25 @@
 
 
 class Refs(msgspec.Struct, tag=12, frozen=True, array_like=True):
-    """To a keeper of ids: those that are owed an end from now on, and those that are not any more.
+    """Sends an id holder the ids that became outstanding and those that ended.
 
-    They follow on a step of the book's list of ids and bring it to another. `after` -1: this is all of it, of
-    a book that `about` tells of; without `about`, forget the list.
+    The changes lead from `after_step` to `step` of the book's id log. With `after_step` -1 the list is
+    complete and `config` describes the book; without `config` as well, the receiver drops the list.
     """
 
     source: str
     book: str
     term: int
-    after: int
+    after_step: int
     step: int
-    owed: tuple[tuple[str, int], ...]  # and ms until their deadlines
-    over: tuple[str, ...]
+    outstanding: tuple[tuple[str, int], ...]  # ids, ms until their deadlines
+    ended_refs: tuple[str, ...]
     config: BookConfig | None = None
 
 
-class Told(msgspec.Struct, tag=13, frozen=True, array_like=True):
-    """I know the ids up to this step (-1: of none); `missed`: what you sent follows on a later one."""
+class RefsAcked(msgspec.Struct, tag=13, frozen=True, array_like=True):
+    """An id holder knows the ids up to a step (-1: none). `missed`: it lacks steps before the ones
+    received."""
 
     source: str
     book: str
@@ -177,7 +182,19 @@
 
 
 Message = (
-    Claim | Granted | Refused | Append | Acked | Behind | Fill | Higher | Fetch | Held | Close | Refs | Told
+    Claim
+    | Granted
+    | Refused
+    | Append
+    | Acked
+    | Behind
+    | Fill
+    | Superseded
+    | Fetch
+    | Contents
+    | Close
+    | Refs
+    | RefsAcked
 )
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
