--- a/benchmarks/capacity/tier_simulated.py
+++ b/benchmarks/capacity/tier_simulated.py
@@ -96,7 +96,7 @@
     """For each change the time until it was in force at the last; one that is not yet counts as until now."""
     found = []
     for revision in made:
-        spans = plane.spans(revision)
+        spans = plane.propagation_times(revision)
         running = sum(node.core is not None for node in plane.followers())
         found.append(max(spans) if len(spans) >= running else plane.now - plane.committed[revision])
     return found
--- a/tests/plane.py
+++ b/tests/plane.py
@@ -35,7 +35,7 @@
 from willownotch.channel.client import AskError, ask
 from willownotch.controlplane.entries import encode
 from willownotch.controlplane.follower import Follower
-from willownotch.controlplane.held import Held
+from willownotch.controlplane.held import HeldDocument
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings
 from willownotch.controlplane.store import Store
 from willownotch.controlplane.wire import VERSION, decode
@@ -111,7 +111,7 @@
         uid = self.random.getrandbits(48)
         self.seal = Seal(uid, self.keys, decode, VERSION)
         self.store = Store(self.folder, self.files, self.name)
-        self.held = Held.restored(self.store.load())
+        self.held = HeldDocument.restored(self.store.load())
         self.lives.append(len(self.history))
         self.follower = Follower(
             self.name, uid, self.held, self.settings, time.monotonic(), self.random, self._keep
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -12,7 +12,7 @@
 from willownotch.controlplane.document import Change, Commit, Delta, Document
 from willownotch.controlplane.fetching import WINDOW, Fetching
 from willownotch.controlplane.follower import Follower, ranked
-from willownotch.controlplane.held import STEPS_MOST, Held
+from willownotch.controlplane.held import STEPS_MOST, HeldDocument
 from willownotch.controlplane.serving import RECENT_ARRIVAL_S, REMEMBERED_FACTOR, FollowerService
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
 from willownotch.controlplane.simulated import MEMBERS, ZONES, Conditions, Plane
@@ -61,7 +61,7 @@
 
 
 def held_of(document):
-    held = Held()
+    held = HeldDocument()
     if document.revision:
         held.lead(document.delta(0))
         held.applied(document.revision)
@@ -583,7 +583,7 @@
     alone.keeps = True
     alone.run(20.0, truthful(right))
     assert [offer.revision for offer in alone.follower.offered] == [4] and alone.asked()[-1].revision == 4
-    assert Held.restored([*wire_records(document_of(3)), *alone.kept]).document.digest == right.digest
+    assert HeldDocument.restored([*wire_records(document_of(3)), *alone.kept]).document.digest == right.digest
 
 
 def wire_records(document):
@@ -609,7 +609,7 @@
 
 
 def test_what_is_in_force_is_told_apart_from_what_is_held():
-    source, held, records = Document(), Held(), []
+    source, held, records = Document(), HeldDocument(), []
     states = {0: {}}
     for n in range(6):
         commit(source, {"a": b"%d" % n, f"b{n}": b"1"}, (f"b{n - 1}",) if n else ())
@@ -622,7 +622,7 @@
             records.append(msgspec.msgpack.encode(["x"]))
             records.pop()
             records += in_force(2)
-    for one in (held, Held.restored(records), Held.restored(held.records())):
+    for one in (held, HeldDocument.restored(records), HeldDocument.restored(held.records())):
         assert one.in_force == 2 and dict(one.entries_in_force()) == states[2]
         assert dict(one.document.items()) == states[6] and one.document.digest == source.digest
         assert one.get_in_force("a") == b"1" and one.get_in_force("b5") is None
@@ -632,7 +632,7 @@
     with pytest.raises(ValueError, match="not held"):
         held.applied(7)
     held.applied(6)
-    again = Held.restored(held.records())
+    again = HeldDocument.restored(held.records())
     assert dict(again.entries_in_force()) == states[6] and again.in_force == 6 and not again.steps
 
 
@@ -653,16 +653,16 @@
     commit(source, {f"k{n}": bytes(100) for n in range(4000)})
     records = msgspec_records(source.delta(0))
     assert len(records) > 3 and max(map(len, records)) < 256 * 1024
-    assert Held.restored(records).document.digest == source.digest
-    assert Held.restored(records[:-1]).document.revision == 0
+    assert HeldDocument.restored(records).document.digest == source.digest
+    assert HeldDocument.restored(records[:-1]).document.revision == 0
     with pytest.raises(ValueError):
-        Held.restored(records[1:])
+        HeldDocument.restored(records[1:])
     with pytest.raises(ValueError, match="cannot be read"):
-        Held.restored([b"\xc1"])
+        HeldDocument.restored([b"\xc1"])
 
 
 def test_steps_that_are_not_in_force_are_bounded():
-    source, held = Document(), Held()
+    source, held = Document(), HeldDocument()
     for n in range(STEPS_MOST + 20):
         commit(source, {"a": b"%d" % n, f"k{n}": b"1"})
         held.lead(source.delta(n))
--- a/tests/test_controlplane_sender.py
+++ b/tests/test_controlplane_sender.py
@@ -13,8 +13,8 @@
 from harness import ROOT, SETTINGS, until
 
 from willownotch.controlplane import wire
-from willownotch.controlplane.held import Held
-from willownotch.controlplane.sender import Following
+from willownotch.controlplane.held import HeldDocument
+from willownotch.controlplane.sender import FollowerThread
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings
 from willownotch.controlplane.store import Store
 from willownotch.files.layer import REAL
@@ -38,7 +38,7 @@
 
 def held(fleet):
     """What the folder of a sender that has ended holds."""
-    return Held.restored(Store(fleet.path / "follow", REAL, "t0").peek())
+    return HeldDocument.restored(Store(fleet.path / "follow", REAL, "t0").peek())
 
 
 def not_opened(fleet):
@@ -80,7 +80,7 @@
         patience=timedelta(milliseconds=50),
         member={"a": FollowedSettings(member.sock.getsockname())},
     )
-    following = Following(
+    following = FollowerThread(
         settings,
         "t0",
         REAL,
@@ -94,11 +94,11 @@
         until(lambda: asked)
         polls = following.view().counters["polls"]
         until(lambda: following.view().counters["polls"] > polls + 2)
-        following.holds(object())  # what SIGHUP brought before it
+        following.config_applied(object())  # what SIGHUP brought before it
         until(lambda: following.view().counters["polls"] > polls + 4)
         assert following.view().in_force == 0
         assert member.in_force() == {"0": 1}
-        following.holds(config)
+        following.config_applied(config)
         until(lambda: member.in_force() == {"1": 1})
     finally:
         following.stop()
--- a/willownotch/cli.py
+++ b/willownotch/cli.py
@@ -52,7 +52,7 @@
 
 if TYPE_CHECKING:
     from willownotch.channel.server import Server
-    from willownotch.controlplane.sender import Following
+    from willownotch.controlplane.sender import FollowerThread
     from willownotch.mesh import Mesh
 
 MAX_THREAD_TRIES, THREAD_RETRY_DELAY_S = 3, 0.01
@@ -173,7 +173,12 @@
 
 
 def reload_settings(
-    path: str | None, blocks: Blocks, bodies: Bodies, mesh: Mesh | None, following: Following | None, log: Log
+    path: str | None,
+    blocks: Blocks,
+    bodies: Bodies,
+    mesh: Mesh | None,
+    following: FollowerThread | None,
+    log: Log,
 ) -> Blocks:
     """Apply a replaced settings file, completely or not at all. Returns the blocks now in force."""
     if not path:
@@ -258,16 +263,16 @@
     lifecycle: SharedLifecycle,
     channel: Server | None,
     startup: Startup,
-) -> Following | None:
+) -> FollowerThread | None:
     """Follow the control plane if the settings say so; otherwise its modules are not loaded."""
     if not blocks.follow.enabled():
         return None
-    from willownotch.controlplane.sender import Following
+    from willownotch.controlplane.sender import FollowerThread
 
     try:
         following = startup.attempt(
             "the address of the followed configuration",
-            lambda: Following(
+            lambda: FollowerThread(
                 blocks.follow,
                 config.name,
                 files,
@@ -433,7 +438,7 @@
         client_side.apply_settings(new)
         endpoint_side.apply_settings(new)
         if following is not None:
-            following.holds(new)
+            following.config_applied(new)
 
     decision_loop.retuned = retuned
     reloader = ConfigReloader(
@@ -548,11 +553,11 @@
         except ValueError as fault:
             mistakes.append(str(fault))
     if config is not None and blocks.follow.enabled():
-        from willownotch.controlplane.sender import kept_overlay
+        from willownotch.controlplane.sender import stored_overlay
         from willownotch.controlplane.store import StoreError
 
         try:
-            overlay = kept_overlay(blocks.follow, config.name)
+            overlay = stored_overlay(blocks.follow, config.name)
             config = configs.load(config_path, overlay=overlay)
         except (ValueError, OSError, StoreError) as fault:
             mistakes.append(f"willownotch: with the revision kept in {blocks.follow.folder}: {fault}")
--- a/willownotch/controlplane/follower.py
+++ b/willownotch/controlplane/follower.py
@@ -35,7 +35,7 @@
 from willownotch.controlplane.comparison import FIRST, Buckets, Comparison
 from willownotch.controlplane.document import Delta, DocumentError
 from willownotch.controlplane.fetching import Fetching
-from willownotch.controlplane.held import Held, InForce, encode, records_of
+from willownotch.controlplane.held import HeldDocument, InForce, encode, records_of
 from willownotch.controlplane.settings import FollowSettings
 from willownotch.controlplane.wire import (
     MAX_TEXT_CHARS,
@@ -139,7 +139,7 @@
         self,
         name: str,
         uid: int,
-        held: Held,
+        held: HeldDocument,
         settings: FollowSettings,
         now: float,
         random: Random,
--- a/willownotch/controlplane/held.py
+++ b/willownotch/controlplane/held.py
@@ -71,7 +71,7 @@
     return [*parts, encode(Step(msgspec.structs.replace(delta, sets=sets, removes=removes)))]
 
 
-class Held:
+class HeldDocument:
     """A follower's document with the steps that are not in force yet."""
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
         return found + records_of(last)
 
     @classmethod
-    def restored(cls, records: Iterable[bytes]) -> Held:
+    def restored(cls, records: Iterable[bytes]) -> HeldDocument:
         """What the folder has; `ValueError` if records do not make one whole."""
         made = cls()
         sets: dict[str, bytes] = {}
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -22,7 +22,7 @@
 from willownotch.controlplane import wire
 from willownotch.controlplane.entries import CONFIG, config_entries, overlay
 from willownotch.controlplane.follower import Follower, FollowView
-from willownotch.controlplane.held import Held
+from willownotch.controlplane.held import HeldDocument
 from willownotch.controlplane.settings import FollowSettings
 from willownotch.controlplane.store import BusyError, Store
 from willownotch.files.layer import REAL, Files
@@ -39,7 +39,7 @@
 UNHEARD_S = 30.0  # without a member, and the log says so
 
 
-def laid(held: Held) -> Overlay | None:
+def laid(held: HeldDocument) -> Overlay | None:
     """What lies over the file with the revision in force; None if none is."""
     if not held.in_force:
         return None
@@ -47,16 +47,16 @@
     return lambda file: overlay(file, entries)
 
 
-def kept_overlay(settings: FollowSettings, name: str, files: Files = REAL) -> Overlay | None:
+def stored_overlay(settings: FollowSettings, name: str, files: Files = REAL) -> Overlay | None:
     """The revision that was in force last, as the folder has it, for a start with nobody to ask.
 
     `ValueError`, `StoreError` or `OSError` if the folder cannot be used. Another process may have it open:
     that one hands over.
     """
-    return laid(Held.restored(Store(Path(settings.folder), files, settings.name or name).peek()))
+    return laid(HeldDocument.restored(Store(Path(settings.folder), files, settings.name or name).peek()))
 
 
-class Following:
+class FollowerThread:
     """Follows the control plane for a running sender. `lay_over` applies a revision: `Reloads.lay_over`."""
 
     def __init__(
@@ -71,7 +71,7 @@
         self.settings, self.name, self.say = settings, settings.name or name, say
         self.lay_over, self.given = lay_over, given
         self.store = Store(Path(settings.folder), files, self.name)
-        self.held = Held()
+        self.held = HeldDocument()
         self.follower: Follower | None = None  # until the folder is open
         self.traffic: Counter[str] = Counter()
         self.lock = threading.Lock()
@@ -91,7 +91,7 @@
         self._unheard = False
         self._stopping, self._stopped = False, threading.Event()
 
-    def holds(self, config: Config) -> None:
+    def config_applied(self, config: Config) -> None:
         """The owner has taken a configuration; it calls."""
         self._taken.put(config)
         self._wake()
@@ -125,7 +125,7 @@
             except BusyError:
                 pause.wait(FOLDER_S)
                 continue
-            self.held = Held.restored(found)
+            self.held = HeldDocument.restored(found)
             self.follower = Follower(
                 self.name,
                 self._uid,
--- a/willownotch/controlplane/simulated.py
+++ b/willownotch/controlplane/simulated.py
@@ -19,7 +19,7 @@
 from willownotch.controlplane import wire
 from willownotch.controlplane.document import Change, Commit, Document
 from willownotch.controlplane.follower import Follower
-from willownotch.controlplane.held import Held
+from willownotch.controlplane.held import HeldDocument
 from willownotch.controlplane.serving import FollowerService
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
 from willownotch.peers.core import Send
@@ -139,7 +139,7 @@
         node.core = Follower(
             name,
             self.random.getrandbits(48),
-            Held.restored(node.records),
+            HeldDocument.restored(node.records),
             settings,
             self.now,
             Random(self.random.getrandbits(64)),
@@ -311,7 +311,7 @@
         """Whether all followers that run have it or a later one in force."""
         return all(node.core.held.in_force >= revision for node in self.followers() if node.core is not None)
 
-    def spans(self, revision: int) -> list[float]:
+    def propagation_times(self, revision: int) -> list[float]:
         """From a change's commit until it, or a later one, was in force, for each follower that has it."""
         began, found = self.committed[revision], []
         for node in self.followers():
