--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -8,11 +8,11 @@
 import pytest
 
 from willownotch.controlplane import wire
-from willownotch.controlplane.comparison import FIRST, Comparison
+from willownotch.controlplane.comparison import FIRST_PART, Comparison
 from willownotch.controlplane.document import Change, Commit, Delta, Document
-from willownotch.controlplane.fetching import WINDOW, Fetching
-from willownotch.controlplane.follower import Follower, ranked
-from willownotch.controlplane.held import STEPS_MOST, HeldDocument
+from willownotch.controlplane.fetching import WINDOW_PIECES, PartFetcher
+from willownotch.controlplane.follower import Follower, rank_members
+from willownotch.controlplane.held import MAX_STEPS, HeldDocument
 from willownotch.controlplane.serving import RECENT_ARRIVAL_S, REMEMBERED_FACTOR, FollowerService
 from willownotch.controlplane.settings import FollowedSettings, FollowSettings, MemberSettings
 from willownotch.controlplane.simulated import MEMBERS, ZONES, Conditions, Plane
@@ -63,8 +63,8 @@
 def held_of(document):
     held = HeldDocument()
     if document.revision:
-        held.lead(document.delta(0))
-        held.applied(document.revision)
+        held.advance(document.delta(0))
+        held.set_in_force(document.revision)
     return held
 
 
@@ -138,7 +138,7 @@
     digest = plane.truth.digest
     for node in plane.followers():
         assert node.core.held.document.digest == digest
-        revisions = [revision for _, revision in node.forces]
+        revisions = [revision for _, revision in node.in_force_history]
         assert revisions == sorted(set(revisions))
 
 
@@ -159,7 +159,7 @@
             plane.run(plane.now + 3.0)
             plane.change()
         plane.run(plane.now + 20.0)
-        return [(node.sent, node.received, node.forces) for node in plane.nodes.values()]
+        return [(node.sent, node.received, node.in_force_history) for node in plane.nodes.values()]
 
     assert story() == story()
 
@@ -208,8 +208,10 @@
     plane.start_all()
     plane.run(10.0)
     alone, followers = {"z1"}, [node for node in plane.followers() if node.zone == "z1"]
-    real = plane.apart
-    plane.apart = lambda node: node.zone in alone or real(node)  # cut from the members, not from followers
+    real = plane.is_isolated
+    plane.is_isolated = lambda node: node.zone in alone or real(
+        node
+    )  # cut from the members, not from followers
     plane.run(50.0)
     revision = plane.change()
     plane.until(lambda: plane.in_force(revision), 11.0)
@@ -340,7 +342,7 @@
     first = plane.change()
     plane.until(lambda: plane.in_force(first), 5)
     bad = "s3", first + 1
-    plane.refuses = lambda name, document: "no such place" if (name, document.revision) == bad else ""
+    plane.refusal_of = lambda name, document: "no such place" if (name, document.revision) == bad else ""
     plane.change()
     plane.run(plane.now + 5.0)
     follower = plane.nodes["s3"].core
@@ -361,14 +363,16 @@
 
 
 def test_a_member_of_the_own_zone_is_asked_first_then_of_the_own_region():
-    assert ranked("s1", SETTINGS) == ["near", "beside", "far"]
+    assert rank_members("s1", SETTINGS) == ["near", "beside", "far"]
     names = {f"m{n}": FollowedSettings(("m", n), "z1", "east") for n in range(4)}
     settings = msgspec.structs.replace(SETTINGS, member=names)
-    firsts = Counter(ranked(f"s{n}", settings)[0] for n in range(400))
+    firsts = Counter(rank_members(f"s{n}", settings)[0] for n in range(400))
     assert min(firsts.values()) > 60
     fewer = msgspec.structs.replace(settings, member={n: m for n, m in names.items() if n != "m2"})
     for n in range(100):  # only those of the one that is gone move
-        assert ranked(f"s{n}", fewer) == [name for name in ranked(f"s{n}", settings) if name != "m2"]
+        assert rank_members(f"s{n}", fewer) == [
+            name for name in rank_members(f"s{n}", settings) if name != "m2"
+        ]
 
 
 def test_three_polls_without_an_answer_and_another_is_followed():
@@ -456,9 +460,9 @@
     """A comparison up to the entries, with a snapshot of three entries: the parts of them."""
     snapshot = document_of(3)
     comparison = Comparison(document, buckets)
-    part = FIRST
+    part = FIRST_PART
     for _ in range(2):
-        (part, _), *more = comparison.take(part, FollowerService._encoded(snapshot, part))
+        (part, _), *more = comparison.on_part(part, FollowerService._encoded(snapshot, part))
     return snapshot, comparison, [part, *(one for one, _ in more)]
 
 
@@ -467,20 +471,20 @@
     entries = wire.read_entries(FollowerService._encoded(snapshot, parts[0]))
     for wrong in ({key: b"forged" for key in entries}, {}, entries | {"elsewhere": b"1"}):
         with pytest.raises(ValueError, match="another"):
-            comparison.take(parts[0], wire.encode(wrong))
+            comparison.on_part(parts[0], wire.encode(wrong))
     for part in parts:
-        assert comparison.take(part, FollowerService._encoded(snapshot, part)) == []
-    assert comparison.whole() and dict(comparison.delta().sets) == dict(snapshot.items())
+        assert comparison.on_part(part, FollowerService._encoded(snapshot, part)) == []
+    assert comparison.is_complete() and dict(comparison.delta().sets) == dict(snapshot.items())
 
 
 def test_buckets_that_were_fetched_are_not_asked_for_again():
     snapshot, first, parts = compared(Document(), buckets := {})
-    first.take(parts[0], FollowerService._encoded(snapshot, parts[0]))
+    first.on_part(parts[0], FollowerService._encoded(snapshot, parts[0]))
     _, second, again = compared(Document(), buckets)
     assert len(parts) == 3 and again == parts[1:]
     for part in again:
-        second.take(part, FollowerService._encoded(snapshot, part))
-    assert second.whole() and dict(second.delta().sets) == dict(snapshot.items())
+        second.on_part(part, FollowerService._encoded(snapshot, part))
+    assert second.is_complete() and dict(second.delta().sets) == dict(snapshot.items())
 
 
 def test_a_tree_that_leads_nowhere_is_as_wrong():
@@ -587,7 +591,7 @@
 
 
 def wire_records(document):
-    return held_of(document).records()
+    return held_of(document).compacted_records()
 
 
 def test_it_takes_leave_when_it_ends():
@@ -614,32 +618,32 @@
     for n in range(6):
         commit(source, {"a": b"%d" % n, f"b{n}": b"1"}, (f"b{n - 1}",) if n else ())
         delta = source.delta(n)
-        held.lead(delta)
+        held.advance(delta)
         records += msgspec_records(delta)
         states[n + 1] = dict(source.items())
         if n == 2:
-            held.applied(2)
+            held.set_in_force(2)
             records.append(msgspec.msgpack.encode(["x"]))
             records.pop()
             records += in_force(2)
-    for one in (held, HeldDocument.restored(records), HeldDocument.restored(held.records())):
+    for one in (held, HeldDocument.restored(records), HeldDocument.restored(held.compacted_records())):
         assert one.in_force == 2 and dict(one.entries_in_force()) == states[2]
         assert dict(one.document.items()) == states[6] and one.document.digest == source.digest
         assert one.get_in_force("a") == b"1" and one.get_in_force("b5") is None
-        assert one.changed() >= {"a", "b1", "b5"}
+        assert one.changed_keys() >= {"a", "b1", "b5"}
     with pytest.raises(ValueError, match="not held"):
-        held.applied(1)
+        held.set_in_force(1)
     with pytest.raises(ValueError, match="not held"):
-        held.applied(7)
-    held.applied(6)
-    again = HeldDocument.restored(held.records())
+        held.set_in_force(7)
+    held.set_in_force(6)
+    again = HeldDocument.restored(held.compacted_records())
     assert dict(again.entries_in_force()) == states[6] and again.in_force == 6 and not again.steps
 
 
 def msgspec_records(delta):
-    from willownotch.controlplane.held import records_of
+    from willownotch.controlplane.held import step_records
 
-    return records_of(delta)
+    return step_records(delta)
 
 
 def in_force(revision):
@@ -663,12 +667,12 @@
 
 def test_steps_that_are_not_in_force_are_bounded():
     source, held = Document(), HeldDocument()
-    for n in range(STEPS_MOST + 20):
+    for n in range(MAX_STEPS + 20):
         commit(source, {"a": b"%d" % n, f"k{n}": b"1"})
-        held.lead(source.delta(n))
+        held.advance(source.delta(n))
         if n == 9:
-            held.applied(10)
-    assert len(held.steps) == STEPS_MOST and held.get_in_force("a") == b"9"
+            held.set_in_force(10)
+    assert len(held.steps) == MAX_STEPS and held.get_in_force("a") == b"9"
     assert dict(held.entries_in_force()) == {"a": b"9"} | {f"k{n}": b"1" for n in range(10)}
 
 
@@ -1000,24 +1004,28 @@
 
 
 def test_a_window_a_rate_and_repeats_of_what_was_lost():
-    fetching = Fetching("s1", "near", 10_000, 1.0, 0.0, 0)
-    fetching.want(Part(PartKind.DELTA, 2, 1), 100)
-    first = [piece for fetch in fetching.asks(0.0) for piece in fetch.pieces]
-    assert first == list(range(WINDOW)) and fetching.asks(0.5) == []
+    fetching = PartFetcher("s1", "near", 10_000, 1.0, 0.0, 0)
+    fetching.add_part(Part(PartKind.DELTA, 2, 1), 100)
+    first = [piece for fetch in fetching.next_requests(0.0) for piece in fetch.pieces]
+    assert first == list(range(WINDOW_PIECES)) and fetching.next_requests(0.5) == []
     for piece in first[5:]:
-        fetching.take(0.6, Piece("near", 1, piece, 100, b"x"))
-    again = [piece for fetch in fetching.asks(1.0) for piece in fetch.pieces]
+        fetching.on_piece(0.6, Piece("near", 1, piece, 100, b"x"))
+    again = [piece for fetch in fetching.next_requests(1.0) for piece in fetch.pieces]
     assert again[:5] == first[:5] and len(again) * 1250 <= 10_000 + 1250
-    assert fetching.take(1.0, Piece("near", 1, 3, 99, b"x")) is None  # another size than it was
-    assert fetching.take(1.0, Piece("near", 9, 3, 100, b"x")) is None  # nobody asked
-    assert fetching.take(1.0, Piece("near", 1, 100, 100, b"x")) is None
-    whole = [fetching.take(2.0, Piece("near", 1, piece, 100, b"%d," % piece)) for piece in range(100)]
-    assert whole[-1] is not None and fetching.due() is None and not fetching.asks(9.0)
+    assert fetching.on_piece(1.0, Piece("near", 1, 3, 99, b"x")) is None  # another size than it was
+    assert fetching.on_piece(1.0, Piece("near", 9, 3, 100, b"x")) is None  # nobody asked
+    assert fetching.on_piece(1.0, Piece("near", 1, 100, 100, b"x")) is None
+    whole = [fetching.on_piece(2.0, Piece("near", 1, piece, 100, b"%d," % piece)) for piece in range(100)]
+    assert whole[-1] is not None and fetching.due() is None and not fetching.next_requests(9.0)
     assert whole[-1][1].startswith(b"0,1,2,3,4,x")
-    fetching.want(Part(PartKind.DELTA, 3, 1), 50)
-    assert fetching.asks(10.0)
-    fetching.busy(11.0, 5.0)
-    assert fetching.asks(15.0) == [] and fetching.due() >= 16.0 and fetching.asks(16.0)[0].pieces[0] == 0
+    fetching.add_part(Part(PartKind.DELTA, 3, 1), 50)
+    assert fetching.next_requests(10.0)
+    fetching.pause(11.0, 5.0)
+    assert (
+        fetching.next_requests(15.0) == []
+        and fetching.due() >= 16.0
+        and fetching.next_requests(16.0)[0].pieces[0] == 0
+    )
 
 
 def test_a_rate_is_held_and_its_debt_is_bounded():
--- a/willownotch/controlplane/comparison.py
+++ b/willownotch/controlplane/comparison.py
@@ -1,7 +1,7 @@
-"""What a member's snapshot has that a document has not, found from the top of the tree of digests down: the
-groups that differ, their buckets that differ, the entries of those. No I/O.
+"""Finds the differences between a document and a member's snapshot, down the tree of digests.
 
-Each level has to add up to the one above it, so what is wrong is known at the first part that does not.
+The groups that differ are compared first, then their buckets, then the entries of those. The digests of each
+level must add up to the one above, so wrong data is detected at the first part that does not. No I/O.
 """
 
 from __future__ import annotations
@@ -24,101 +24,111 @@
     read_snapshot_digests,
 )
 
-Buckets = dict[int, tuple[bytes, dict[str, bytes]]]  # by number: the digest, the entries
-FIRST = Part(PartKind.GROUPS, 0)  # what is to be fetched first, of one piece
+Buckets = dict[int, tuple[bytes, dict[str, bytes]]]  # by number: digest and entries
+FIRST_PART = Part(PartKind.GROUPS, 0)  # fetched first; one piece
 
 
 class Comparison:
-    """One of a document, which must not move on meanwhile, with a snapshot. `buckets` is what was fetched: it
-    outlives this one, so that another need not ask for it again."""
+    """Compares a document, which must not change meanwhile, with a snapshot.
+
+    Fetched buckets are put into `buckets`, which outlives the comparison, so that the next one need not fetch
+    them again.
+    """
 
     def __init__(self, document: Document, buckets: Buckets) -> None:
         self.document, self.buckets = document, buckets
-        self.top: SnapshotDigests | None = None
-        self.wanted: dict[int, bytes] = {}  # buckets that differ, and the snapshot's digests of them
-        self.awaited = 1  # parts
+        self.snapshot: SnapshotDigests | None = None
+        self.differing: dict[int, bytes] = {}  # snapshot's digests of the buckets that differ
+        self.parts_awaited = 1
+
+    def on_part(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
+        """Handle a fetched part; returns the parts to fetch next, each with its number of pieces if known.
 
-    def take(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
-        """A part that was fetched: the parts to be fetched next, and of how many pieces they are, if that is
-        known; `ValueError` if it does not add up or cannot be read."""
+        `ValueError` if the digests do not add up or the part cannot be decoded.
+        """
         wanted = {
-            PartKind.GROUPS: self._groups,
-            PartKind.BUCKETS: self._group_buckets,
-            PartKind.ENTRIES: self._entries,
+            PartKind.GROUPS: self._on_groups,
+            PartKind.BUCKETS: self._on_buckets,
+            PartKind.ENTRIES: self._on_entries,
         }[part.kind](part, data)
-        self.awaited += len(wanted) - 1
+        self.parts_awaited += len(wanted) - 1
         return wanted
 
-    def whole(self) -> bool:
-        """Whether all that differs is there."""
-        return self.awaited == 0
+    def is_complete(self) -> bool:
+        """Whether all differences have been fetched."""
+        return self.parts_awaited == 0
 
     def delta(self) -> Delta:
-        """All that differs, once it is whole."""
+        """The difference between the document and the snapshot, once the comparison is complete."""
         sets, removes = {}, []
-        for number in self.wanted:
+        for number in self.differing:
             ours, theirs = self.document.bucket(number), self.buckets[number][1]
             sets |= {key: value for key, value in theirs.items() if ours.get(key) != value}
             removes += [key for key in ours if key not in theirs]
         return Delta(
-            self.document.revision, self.top.revision, self.top.token, sets, tuple(removes), self.top.digest
+            self.document.revision,
+            self.snapshot.revision,
+            self.snapshot.token,
+            sets,
+            tuple(removes),
+            self.snapshot.digest,
         )
 
-    def _groups(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
-        self.top = read_snapshot_digests(data)
-        sums = _digests(self.top.groups)
-        if len(sums) != GROUPS or _sum(sums) != self.top.digest:
-            raise ValueError("a tree that does not add up")
+    def _on_groups(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
+        self.snapshot = read_snapshot_digests(data)
+        digests = _split_digests(self.snapshot.groups)
+        if len(digests) != GROUPS or _sum_digests(digests) != self.snapshot.digest:
+            raise ValueError("digests of the groups do not add up to the snapshot's digest")
         mask = sum(
             (ours != theirs) << number
-            for number, (ours, theirs) in enumerate(zip(self.document.groups(), sums, strict=True))
+            for number, (ours, theirs) in enumerate(zip(self.document.groups(), digests, strict=True))
         )
         pieces = -(-mask.bit_count() * GROUPS * DIGEST_BYTES // PIECE_BYTES)
-        return [(Part(PartKind.BUCKETS, self.top.revision, 0, mask), pieces)] if mask else []
+        return [(Part(PartKind.BUCKETS, self.snapshot.revision, 0, mask), pieces)] if mask else []
 
-    def _group_buckets(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
+    def _on_buckets(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
         groups = [number for number in range(GROUPS) if part.mask >> number & 1]
-        sums, tops = _digests(data), _digests(self.top.groups)
-        if len(sums) != len(groups) * GROUPS:
-            raise ValueError("digests of other groups")
+        digests, group_digests = _split_digests(data), _split_digests(self.snapshot.groups)
+        if len(digests) != len(groups) * GROUPS:
+            raise ValueError("number of bucket digests does not match the requested groups")
         found = []
-        for place, group in enumerate(groups):
-            theirs = sums[place * GROUPS : (place + 1) * GROUPS]
-            if _sum(theirs) != tops[group]:
-                raise ValueError("a group that does not add up")
-            if mask := self._lacking(group, theirs):
-                found.append((Part(PartKind.ENTRIES, self.top.revision, group, mask), None))
+        for index, group in enumerate(groups):
+            theirs = digests[index * GROUPS : (index + 1) * GROUPS]
+            if _sum_digests(theirs) != group_digests[group]:
+                raise ValueError("digests of the buckets do not add up to their group's digest")
+            if mask := self._buckets_to_fetch(group, theirs):
+                found.append((Part(PartKind.ENTRIES, self.snapshot.revision, group, mask), None))
         return found
 
-    def _lacking(self, group: int, sums: list[bytes]) -> int:
-        """A bit for each bucket of a group that differs and was not fetched before."""
+    def _buckets_to_fetch(self, group: int, digests: list[bytes]) -> int:
+        """A mask of the buckets of a group that differ and have not been fetched before."""
         mask = 0
-        for at, (ours, theirs) in enumerate(zip(self.document.buckets(group), sums, strict=True)):
+        for at, (ours, theirs) in enumerate(zip(self.document.buckets(group), digests, strict=True)):
             number = group * GROUPS + at
             if ours != theirs:
-                self.wanted[number] = theirs
+                self.differing[number] = theirs
                 mask |= (number not in self.buckets or self.buckets[number][0] != theirs) << at
         return mask
 
-    def _entries(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
+    def _on_entries(self, part: Part, data: bytes) -> list[tuple[Part, int | None]]:
         found: dict[int, dict[str, bytes]] = {
             part.node * GROUPS + at: {} for at in range(GROUPS) if part.mask >> at & 1
         }
         for key, value in read_entries(data).items():
             if (number := bucket_of(key)) not in found:
-                raise ValueError("an entry of another bucket")
+                raise ValueError("entry belongs to another bucket")
             found[number][key] = value
         for number, entries in found.items():
             total = sum(entry_hash(key, value) for key, value in entries.items()) % MODULUS
-            if total.to_bytes(DIGEST_BYTES, "big") != self.wanted[number]:
-                raise ValueError("a bucket with another digest")
-            self.buckets[number] = self.wanted[number], entries
+            if total.to_bytes(DIGEST_BYTES, "big") != self.differing[number]:
+                raise ValueError("entries of a bucket have another digest")
+            self.buckets[number] = self.differing[number], entries
         return []
 
 
-def _digests(data: bytes) -> list[bytes]:
+def _split_digests(data: bytes) -> list[bytes]:
     return [data[at : at + DIGEST_BYTES] for at in range(0, len(data), DIGEST_BYTES)]
 
 
-def _sum(digests: list[bytes]) -> bytes:
-    return (sum(int.from_bytes(one, "big") for one in digests) % MODULUS).to_bytes(DIGEST_BYTES, "big")
+def _sum_digests(digests: list[bytes]) -> bytes:
+    return (sum(int.from_bytes(digest, "big") for digest in digests) % MODULUS).to_bytes(DIGEST_BYTES, "big")
--- a/willownotch/controlplane/fetching.py
+++ b/willownotch/controlplane/fetching.py
@@ -1,6 +1,4 @@
-"""Parts in pieces: what a follower asks its member for, within a window and a rate, again where it was lost.
-No I/O.
-"""
+"""Fetches parts from a member in pieces, within a window and a rate, and repeats lost requests. No I/O."""
 
 from __future__ import annotations
 
@@ -10,108 +8,125 @@
 from willownotch.controlplane.token_bucket import ROUNDING_SLACK
 from willownotch.controlplane.wire import MAX_PIECES_PER_FETCH, Fetch, Part, PartKind, Piece
 
-WINDOW = 32  # pieces that are asked for and not there yet
-BATCH = 8  # pieces that there is room for, before more are asked for
-PIECES_MOST = 16_384  # of one part: 18 MB
-WHOLE_PIECE = 1250  # bytes on the wire of a piece, near enough for the rate
+WINDOW_PIECES = 32  # requested and not received yet, at most
+MIN_BATCH_PIECES = 8  # smallest room in the window and the rate for further requests
+MAX_PIECES_PER_PART = 16_384  # 18 MB
+PIECE_WIRE_BYTES = 1250  # about what a piece takes with its headers; for the rate
 
 
 @dataclass(slots=True)
-class Wanted:
-    """A part, the pieces that came, and when those that did not were asked for."""
+class WantedPart:
+    """A part that is being fetched, its pieces so far, and when the missing ones were requested."""
 
     part: Part
-    pieces: int | None = None  # in all, once one came
-    came: dict[int, bytes] = field(default_factory=dict)
-    asked: dict[int, float] = field(default_factory=dict)
-    next: int = 0
+    pieces: int | None = None  # in all; None until it is known
+    received: dict[int, bytes] = field(default_factory=dict)
+    requested_at: dict[int, float] = field(default_factory=dict)
+    next: int = 0  # every piece before it is received or requested
 
 
-class Fetching:
-    """The parts wanted of one member, oldest first. `rate`: bytes a second; `again`: s until a piece is asked
-    for once more."""
+class PartFetcher:
+    """Fetches parts from one member, oldest first.
 
-    def __init__(self, source: str, member: str, rate: int, again: float, now: float, number: int) -> None:
-        self.source, self.member, self.rate, self.again = source, member, rate, again
-        self.wanted: dict[int, Wanted] = {}
-        self.number = number  # the last that was given
+    `rate` is in bytes per second; a piece that did not come within `retry_s` seconds is requested again.
+    """
+
+    def __init__(self, source: str, member: str, rate: int, retry_s: float, now: float, number: int) -> None:
+        self.source, self.member, self.rate, self.retry_s = source, member, rate, retry_s
+        self.wanted: dict[int, WantedPart] = {}
+        self.last_number = number  # of the last part that was added
         self.progress_at = now
-        self.wait_until = now  # the member said so
-        self._left, self._at = float(WINDOW * WHOLE_PIECE), now
+        self.wait_until = now  # by the member's answer
+        self._allowance_bytes, self._allowance_at = float(WINDOW_PIECES * PIECE_WIRE_BYTES), now
 
-    def want(self, part: Part, pieces: int | None = None) -> None:
-        """Ask for a part too; how many pieces it has, where that is known."""
-        self.number += 1
-        self.wanted[self.number] = Wanted(part, pieces)
+    def add_part(self, part: Part, pieces: int | None = None) -> None:
+        """Fetch another part; `pieces` is its number of pieces, where that is known."""
+        self.last_number += 1
+        self.wanted[self.last_number] = WantedPart(part, pieces)
 
-    def busy(self, now: float, after: float) -> None:
-        """The member wants to be left alone for so long; what was asked for is asked for again then."""
+    def pause(self, now: float, after: float) -> None:
+        """Send no requests for `after` seconds; then all missing pieces are requested again."""
         self.wait_until = now + after
         for wanted in self.wanted.values():
-            wanted.asked.clear()
+            wanted.requested_at.clear()
             wanted.next = 0
 
-    def take(self, now: float, piece: Piece) -> tuple[Part, bytes] | None:
-        """A piece came: the part, if it is whole now. What nobody asked for changes nothing."""
+    def on_piece(self, now: float, piece: Piece) -> tuple[Part, bytes] | None:
+        """Handle a piece; returns the part if it is complete now. Pieces of other parts are ignored."""
         wanted = self.wanted.get(piece.number)
-        if wanted is None or not 0 <= piece.piece < piece.pieces <= PIECES_MOST or piece.piece in wanted.came:
+        if (
+            wanted is None
+            or not 0 <= piece.piece < piece.pieces <= MAX_PIECES_PER_PART
+            or piece.piece in wanted.received
+        ):
             return None
         if wanted.pieces is not None and wanted.pieces != piece.pieces:
             return None
         wanted.pieces = piece.pieces
-        wanted.came[piece.piece] = piece.data
-        for number in [n for n in wanted.asked if n == piece.piece or n >= piece.pieces]:
-            del wanted.asked[number]
+        wanted.received[piece.piece] = piece.data
+        for number in [n for n in wanted.requested_at if n == piece.piece or n >= piece.pieces]:
+            del wanted.requested_at[number]
         self.progress_at = now
-        if len(wanted.came) < piece.pieces:
+        if len(wanted.received) < piece.pieces:
             return None
         del self.wanted[piece.number]
-        return wanted.part, b"".join(wanted.came[n] for n in range(piece.pieces))
-
-    def asks(self, now: float) -> list[Fetch]:
-        """What to ask for now."""
-        self._left = min(float(WINDOW * WHOLE_PIECE), self._left + (now - self._at) * self.rate)
-        self._at = now
+        return wanted.part, b"".join(wanted.received[n] for n in range(piece.pieces))
+
+    def next_requests(self, now: float) -> list[Fetch]:
+        """The requests to send now."""
+        self._allowance_bytes = min(
+            float(WINDOW_PIECES * PIECE_WIRE_BYTES),
+            self._allowance_bytes + (now - self._allowance_at) * self.rate,
+        )
+        self._allowance_at = now
         if now < self.wait_until:
             return []
-        room = WINDOW
+        room = WINDOW_PIECES
         for wanted in self.wanted.values():
-            for piece in [n for n, at in wanted.asked.items() if now - at >= self.again - 1e-9]:
-                del wanted.asked[piece]
+            for piece in [n for n, at in wanted.requested_at.items() if now - at >= self.retry_s - 1e-9]:
+                del wanted.requested_at[piece]
                 wanted.next = min(wanted.next, piece)
-            room -= len(wanted.asked)
-        found = []
-        room = min(room, int(self._left / WHOLE_PIECE + ROUNDING_SLACK))
-        if room < BATCH:
+            room -= len(wanted.requested_at)
+        requests = []
+        room = min(room, int(self._allowance_bytes / PIECE_WIRE_BYTES + ROUNDING_SLACK))
+        if room < MIN_BATCH_PIECES:
             return []
         for number, wanted in self.wanted.items():
-            while chosen := self._choose(wanted, min(room, MAX_PIECES_PER_FETCH)):
-                wanted.asked |= dict.fromkeys(chosen, now)
+            while chosen := self._missing_pieces(wanted, min(room, MAX_PIECES_PER_FETCH)):
+                wanted.requested_at |= dict.fromkeys(chosen, now)
                 room -= len(chosen)
-                self._left -= len(chosen) * WHOLE_PIECE
-                found.append(Fetch(self.source, self.member, number, wanted.part, tuple(chosen)))
+                self._allowance_bytes -= len(chosen) * PIECE_WIRE_BYTES
+                requests.append(Fetch(self.source, self.member, number, wanted.part, tuple(chosen)))
             if room <= 0:
                 break
-        return found
+        return requests
 
     @staticmethod
-    def _choose(wanted: Wanted, most: int) -> list[int]:
-        """Pieces that are neither there nor on their way; of a part of unknown size, the first."""
-        first = 1 if wanted.part.kind is PartKind.GROUPS else 4
-        pieces = first if wanted.pieces is None else wanted.pieces
-        if most <= 0:
+    def _missing_pieces(wanted: WantedPart, limit: int) -> list[int]:
+        """At most `limit` pieces not received or requested yet; of a part of unknown size, the first few."""
+        first_pieces = 1 if wanted.part.kind is PartKind.GROUPS else 4
+        pieces = first_pieces if wanted.pieces is None else wanted.pieces
+        if limit <= 0:
             return []
-        while wanted.next < pieces and (wanted.next in wanted.came or wanted.next in wanted.asked):
+        while wanted.next < pieces and (wanted.next in wanted.received or wanted.next in wanted.requested_at):
             wanted.next += 1
-        left = (n for n in range(wanted.next, pieces) if n not in wanted.came and n not in wanted.asked)
-        return list(islice(left, most))
+        missing = (
+            n for n in range(wanted.next, pieces) if n not in wanted.received and n not in wanted.requested_at
+        )
+        return list(islice(missing, limit))
 
     def due(self) -> float | None:
-        """When something may be asked for, or again."""
+        """When the next request may be sent, first or repeated; None if nothing is wanted."""
         if not self.wanted:
             return None
-        asked = [at for wanted in self.wanted.values() for at in wanted.asked.values()]
-        again = min(asked, default=self._at) + self.again
-        if len(asked) <= WINDOW - BATCH and any(self._choose(wanted, 1) for wanted in self.wanted.values()):
-            again = min(again, self._at + max(0.0, BATCH * WHOLE_PIECE - self._left) / self.rate)
-        return max(again, self.wait_until)
+        pending_since = [since for wanted in self.wanted.values() for since in wanted.requested_at.values()]
+        due_at = min(pending_since, default=self._allowance_at) + self.retry_s
+        if len(pending_since) <= WINDOW_PIECES - MIN_BATCH_PIECES and any(
+            self._missing_pieces(wanted, 1) for wanted in self.wanted.values()
+        ):
+            due_at = min(
+                due_at,
+                self._allowance_at
+                + max(0.0, MIN_BATCH_PIECES * PIECE_WIRE_BYTES - self._allowance_bytes) / self.rate,
+            )
+        return max(due_at, self.wait_until)
--- a/willownotch/controlplane/held.py
+++ b/willownotch/controlplane/held.py
@@ -1,11 +1,11 @@
-"""What a follower holds: a document, and what it was at the revision that is in force. No I/O.
+"""A follower's stored document, and what it was at the revision in force. No I/O.
 
-A revision is held (whole and checked) before it is applied; one that cannot be applied is held all the same,
-since the next one builds on it. So the steps since the one in force are kept, and the entries in force are
-always told from those held: a restarted follower begins with the former.
+A revision is held (complete and checked) before it is applied. One that cannot be applied is held as well,
+since the next one builds on it. So the steps after the revision in force are kept, and the entries in force
+are computed from them: a restarted follower begins with those.
 
-In the folder: `More` records and the `Step` that ends them are one step; `InForce` says that a revision is
-applied. Records are msgpack, tagged.
+In the folder, `StepPart` records and the `Step` that ends them are one step; `InForce` marks a revision as
+applied. Records are tagged msgpack.
 """
 
 from __future__ import annotations
@@ -18,88 +18,90 @@
 
 from willownotch.controlplane.document import Delta, Document, DocumentError
 
-RECORD = 128 * 1024  # bytes of entries in one record
-STEPS_MOST = 256  # that are kept apart while nothing new comes in force; then the oldest are joined
+RECORD_BYTES = 128 * 1024  # of entries in one record, at most plus one entry
+MAX_STEPS = 256  # kept apart while no revision comes in force; beyond it the oldest two are joined
 
 
-class More(msgspec.Struct, tag=95, frozen=True, array_like=True):
-    """Entries of the step that a later record ends."""
+class StepPart(msgspec.Struct, tag=95, frozen=True, array_like=True):
+    """Some entries of a step whose last record is a `Step`."""
 
     sets: dict[str, bytes]
     removes: tuple[str, ...]
 
 
 class Step(msgspec.Struct, tag=96, frozen=True, array_like=True):
-    """The last part of a step; its digest is that of the whole."""
+    """The last part of a step, with the digest of the document after the whole step."""
 
     delta: Delta
 
 
 class InForce(msgspec.Struct, tag=97, frozen=True, array_like=True):
-    """A revision is applied."""
+    """A revision was applied."""
 
     revision: int
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(More | Step | InForce).decode
+decode = msgspec.msgpack.Decoder(StepPart | Step | InForce).decode
 
 
 @dataclass(slots=True)
-class Moved:
-    """A step that was taken, and what its keys had before it."""
+class HeldStep:
+    """A step after the revision in force, with the values that its keys had before it."""
 
     revision: int
     token: int
     digest: bytes
-    before: dict[str, bytes | None]
+    previous: dict[str, bytes | None]
 
 
-def records_of(delta: Delta) -> list[bytes]:
-    """A step as records of bounded size."""
+def step_records(delta: Delta) -> list[bytes]:
+    """Encode a step as records of bounded size."""
     parts, sets, size = [], {}, 0
     for key, value in delta.sets.items():
-        if size > RECORD:
-            parts.append(encode(More(sets, ())))
+        if size > RECORD_BYTES:
+            parts.append(encode(StepPart(sets, ())))
             sets, size = {}, 0
         sets[key] = value
         size += len(key) + len(value) + 8
     removes = delta.removes
     while len(removes) > 2000:
-        parts.append(encode(More({}, removes[:2000])))
+        parts.append(encode(StepPart({}, removes[:2000])))
         removes = removes[2000:]
     return [*parts, encode(Step(msgspec.structs.replace(delta, sets=sets, removes=removes)))]
 
 
 class HeldDocument:
-    """A follower's document with the steps that are not in force yet."""
+    """A follower's document, with the steps that are not in force yet."""
 
     def __init__(self) -> None:
         self.document = Document()
-        self.in_force = 0  # a revision; 0: none is
-        self.steps: deque[Moved] = deque()
+        self.in_force = 0  # revision; 0 if none is
+        self.steps: deque[HeldStep] = deque()
         self._token_in_force, self._digest_in_force = 0, self.document.digest
 
-    def lead(self, delta: Delta) -> None:
-        """Move on by a difference that begins at the revision held or before it; `DocumentError`, and nothing
-        changed, if it does not lead forward or its digest is wrong.
+    def advance(self, delta: Delta) -> None:
+        """Apply a difference that begins at the held revision or before it.
 
-        A difference from an earlier revision has the last value of all that was touched since, so it may be
-        applied to any revision between.
+        Raises `DocumentError` and changes nothing if it does not lead forward or its digest is wrong. A
+        difference from an earlier revision has the last value of every key that changed since, so it may be
+        applied to any revision in between.
         """
         document = self.document
         if delta.since > document.revision:
-            raise DocumentError(f"a difference from {delta.since} does not begin at {document.revision}")
-        before = {key: document.get(key) for key in (*delta.sets, *delta.removes)}
+            raise DocumentError(
+                f"difference begins at revision {delta.since}, after the held revision {document.revision}"
+            )
+        previous = {key: document.get(key) for key in (*delta.sets, *delta.removes)}
         document.apply(msgspec.structs.replace(delta, since=document.revision))
-        before = {key: value for key, value in before.items() if value != document.get(key)}
-        self.steps.append(Moved(document.revision, document.token, document.digest, before))
-        if len(self.steps) > STEPS_MOST:
+        previous = {key: value for key, value in previous.items() if value != document.get(key)}
+        self.steps.append(HeldStep(document.revision, document.token, document.digest, previous))
+        if len(self.steps) > MAX_STEPS:
             first = self.steps.popleft()
-            self.steps[0].before |= first.before
+            self.steps[0].previous |= first.previous
 
-    def applied(self, revision: int) -> None:
-        """A revision that was held is in force, not older than the one before; `ValueError`."""
+    def set_in_force(self, revision: int) -> None:
+        """Mark a held revision as in force; `ValueError` if it is not held or older than the one in force."""
         if revision == self.in_force:
             return
         if revision not in [step.revision for step in self.steps]:
@@ -109,33 +111,33 @@
             self.in_force, self._token_in_force = step.revision, step.token
             self._digest_in_force = step.digest
 
-    def changed(self) -> frozenset[str]:
-        """Keys that may differ between what is held and what is in force."""
-        return frozenset(key for step in self.steps for key in step.before)
+    def changed_keys(self) -> frozenset[str]:
+        """Keys whose values may differ between the held revision and the one in force."""
+        return frozenset(key for step in self.steps for key in step.previous)
 
     def entries_in_force(self) -> Iterator[tuple[str, bytes]]:
-        """All entries as they are in force."""
-        then = self._then()
+        """All entries of the revision in force."""
+        earlier = self._previous_values()
         for key, value in self.document.items():
-            if key not in then:
+            if key not in earlier:
                 yield key, value
-        yield from ((key, value) for key, value in then.items() if value is not None)
+        yield from ((key, value) for key, value in earlier.items() if value is not None)
 
     def get_in_force(self, key: str) -> bytes | None:
-        """An entry as it is in force."""
+        """The value of a key in the revision in force; None if it has none."""
         for step in self.steps:
-            if key in step.before:
-                return step.before[key]
+            if key in step.previous:
+                return step.previous[key]
         return self.document.get(key)
 
-    def _then(self) -> dict[str, bytes | None]:
-        then: dict[str, bytes | None] = {}
+    def _previous_values(self) -> dict[str, bytes | None]:
+        earlier: dict[str, bytes | None] = {}
         for step in reversed(self.steps):
-            then |= step.before
-        return then
+            earlier |= step.previous
+        return earlier
 
-    def records(self) -> list[bytes]:
-        """All of it anew, for a folder that is worth rewriting: what is in force, then what is held."""
+    def compacted_records(self) -> list[bytes]:
+        """All records for a rewritten folder: the revision in force, then the step to the held one."""
         if not self.steps:
             whole = Delta(
                 0,
@@ -145,15 +147,15 @@
                 (),
                 self.document.digest,
             )
-            return [*records_of(whole), encode(InForce(self.in_force))] if self.document.revision else []
+            return [*step_records(whole), encode(InForce(self.in_force))] if self.document.revision else []
         found = []
         if self.in_force:
-            then = dict(self.entries_in_force())
-            found += records_of(
-                Delta(0, self.in_force, self._token_in_force, then, (), self._digest_in_force)
+            earlier = dict(self.entries_in_force())
+            found += step_records(
+                Delta(0, self.in_force, self._token_in_force, earlier, (), self._digest_in_force)
             )
             found.append(encode(InForce(self.in_force)))
-        now = {key: self.document.get(key) for key in self._then()}
+        now = {key: self.document.get(key) for key in self._previous_values()}
         last = Delta(
             self.in_force,
             self.document.revision,
@@ -162,28 +164,28 @@
             tuple(key for key, value in now.items() if value is None),
             self.document.digest,
         )
-        return found + records_of(last)
+        return found + step_records(last)
 
     @classmethod
     def restored(cls, records: Iterable[bytes]) -> HeldDocument:
-        """What the folder has; `ValueError` if records do not make one whole."""
-        made = cls()
+        """Rebuild the document from a folder's records; `ValueError` if they cannot be decoded or joined."""
+        restored = cls()
         sets: dict[str, bytes] = {}
         removes: list[str] = []
         for data in records:
             try:
                 record = decode(data)
             except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-                raise ValueError(f"a record of the folder cannot be read: {fault}") from None
-            if isinstance(record, More):
+                raise ValueError(f"record of the follower's folder cannot be read: {fault}") from None
+            if isinstance(record, StepPart):
                 sets |= record.sets
                 removes += record.removes
             elif isinstance(record, Step):
                 delta = record.delta
-                made.lead(
+                restored.advance(
                     msgspec.structs.replace(delta, sets=sets | delta.sets, removes=(*removes, *delta.removes))
                 )
                 sets, removes = {}, []
             else:
-                made.applied(record.revision)
-        return made
+                restored.set_in_force(record.revision)
+        return restored
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -1,8 +1,8 @@
-"""A sender's side of the control plane: a thread, a UDP socket, the folder, and the way to the settings.
+"""Runs a sender's follower of the control plane: its thread, UDP socket, folder and path to the settings.
 
-The follower decides; this carries it out. A revision that is offered is laid over the configuration file by
-the path that SIGHUP uses, and counts as in force once the owner has taken it in a round of its own. Nothing
-of the sender waits for anything here: without a member it goes on with what it has.
+`Follower` decides; this module does the I/O. An offered revision is laid over the configuration file on the
+path that SIGHUP uses, and counts as in force once the decision loop has applied it. Nothing in the sender
+waits for this thread: without a member it goes on with the configuration it has.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 from willownotch.peers.transport import Budget
 from willownotch.peers.wire import Address
 
-IDLE_S = 1.0  # s between two rounds at the most
-FOLDER_S = 0.25  # s between two looks at a folder that another process still has
-ROUND_MOST = 64  # datagrams taken before the timers are looked at again
+MAX_ROUND_WAIT_S = 1.0
+FOLDER_RETRY_S = 0.25  # between two attempts to open a folder that another process still has
+MAX_DATAGRAMS_PER_ROUND = 64  # received before the timers are checked again
 UID_BITS = 48
-UNHEARD_S = 30.0  # without a member, and the log says so
+UNHEARD_LOG_S = 30.0  # without word from a member, until it is logged
 
 
-def laid(held: HeldDocument) -> Overlay | None:
-    """What lies over the file with the revision in force; None if none is."""
+def overlay_in_force(held: HeldDocument) -> Overlay | None:
+    """The overlay that the revision in force puts over the configuration file; None if none is in force."""
     if not held.in_force:
         return None
     entries = config_entries(held.entries_in_force())
@@ -48,16 +48,23 @@
 
 
 def stored_overlay(settings: FollowSettings, name: str, files: Files = REAL) -> Overlay | None:
-    """The revision that was in force last, as the folder has it, for a start with nobody to ask.
+    """The overlay of the last revision in force in the folder, so that a start needs no member.
 
-    `ValueError`, `StoreError` or `OSError` if the folder cannot be used. Another process may have it open:
-    that one hands over.
+    `ValueError`, `StoreError` or `OSError` if the folder cannot be used. The process that is handing over may
+    still have it open.
     """
-    return laid(HeldDocument.restored(Store(Path(settings.folder), files, settings.name or name).peek()))
+    return overlay_in_force(
+        HeldDocument.restored(Store(Path(settings.folder), files, settings.name or name).peek())
+    )
 
 
 class FollowerThread:
-    """Follows the control plane for a running sender. `lay_over` applies a revision: `Reloads.lay_over`."""
+    """Follows the control plane for a running sender.
+
+    `apply_overlay` puts a revision over the configuration file (`ConfigReloader.apply_overlay`) and returns
+    the configuration that the decision loop is to apply, or None if nothing changes for it. `handed_over`
+    returns whether another process has taken the sender's messages over.
+    """
 
     def __init__(
         self,
@@ -65,14 +72,14 @@
         name: str,
         files: Files,
         say: Callable[[str], None],
-        lay_over: Callable[[Overlay], Config | None],
-        given: Callable[[], bool],
+        apply_overlay: Callable[[Overlay], Config | None],
+        handed_over: Callable[[], bool],
     ) -> None:
         self.settings, self.name, self.say = settings, settings.name or name, say
-        self.lay_over, self.given = lay_over, given
+        self.apply_overlay, self.handed_over = apply_overlay, handed_over
         self.store = Store(Path(settings.folder), files, self.name)
         self.held = HeldDocument()
-        self.follower: Follower | None = None  # until the folder is open
+        self.follower: Follower | None = None  # None until the folder is open
         self.traffic: Counter[str] = Counter()
         self.lock = threading.Lock()
         uid = secrets.randbits(UID_BITS)
@@ -85,29 +92,29 @@
             self.sock.close()
             raise
         self._uid = uid
-        self._taken: queue.SimpleQueue[Config] = queue.SimpleQueue()  # by the owner
-        self._waiting: tuple[Config, int] | None = None  # for the owner, and the revision that then holds
-        self._followed: str | None = None  # as the log has it
-        self._unheard = False
+        self._configs_applied: queue.SimpleQueue[Config] = queue.SimpleQueue()  # by the decision loop
+        self._awaiting: tuple[Config, int] | None = None  # to be applied, and its revision
+        self._member_logged: str | None = None
+        self._unheard_logged = False
         self._stopping, self._stopped = False, threading.Event()
 
     def config_applied(self, config: Config) -> None:
-        """The owner has taken a configuration; it calls."""
-        self._taken.put(config)
+        """Called by the decision loop when it has applied a configuration."""
+        self._configs_applied.put(config)
         self._wake()
 
     def _wake(self) -> None:
-        """End the wait for datagrams, by one of no bytes."""
+        """End the wait for datagrams by sending an empty one."""
         try:
             self.sock.sendto(b"", self.sock.getsockname())
         except OSError:
-            pass  # the round ends all the same, a moment later
+            pass  # the round ends after MAX_ROUND_WAIT_S all the same
 
     def run(self) -> None:
-        """Follow until stopped, or until another process has the sender's messages."""
+        """Follow until stopped, or until another process has taken the sender's messages over."""
         try:
             self._open()
-            while not self._stopping and not self.given():
+            while not self._stopping and not self.handed_over():
                 self._round()
             if self.follower is not None:
                 with self.lock:
@@ -117,13 +124,13 @@
             self._stopped.set()
 
     def _open(self) -> None:
-        """Open the folder: at once, or as soon as the process before has let it go."""
+        """Open the folder as soon as the previous process has released it, and start the follower."""
         pause = threading.Event()
-        while not self._stopping and not self.given():
+        while not self._stopping and not self.handed_over():
             try:
                 found = self.store.load()
             except BusyError:
-                pause.wait(FOLDER_S)
+                pause.wait(FOLDER_RETRY_S)
                 continue
             self.held = HeldDocument.restored(found)
             self.follower = Follower(
@@ -133,73 +140,73 @@
                 self.settings,
                 time.monotonic(),
                 Random(secrets.randbits(64)),
-                self._keep,
+                self._store_records,
             )
-            if (behind := laid(self.held)) is not None:
+            if (in_force := overlay_in_force(self.held)) is not None:
                 self.say(f"begins with revision {self.held.in_force} in force")
                 try:
-                    self.lay_over(behind)  # a process that handed over may have moved on meanwhile
+                    self.apply_overlay(in_force)  # a process that handed over may have moved on meanwhile
                 except ConfigError as fault:
-                    self.say(f"revision {self.held.in_force} does not fit the file any more: {fault}")
+                    self.say(f"revision {self.held.in_force} no longer fits the configuration file: {fault}")
             return
 
     def _round(self) -> None:
-        """Wait for a datagram or a timer, and take what there is."""
+        """Wait for a datagram or a timer, then handle all that is there."""
         with self.lock:
             due = self.follower.due()
-        wait = max(0.0005, min(IDLE_S, due - time.monotonic()))
+        wait = max(0.0005, min(MAX_ROUND_WAIT_S, due - time.monotonic()))
         found = self._receive(wait)
         with self.lock:
-            for _ in range(ROUND_MOST):
+            for _ in range(MAX_DATAGRAMS_PER_ROUND):
                 if found is None:
                     break
-                self._take(*found)
+                self._handle_datagram(*found)
                 found = self._receive(0.0)
             now = time.monotonic()
             if self.follower.due() <= now:
                 self._send(self.follower.tick(now))
-            self._owner_took(now)
-            self._apply(now)
-            self._log(now)
+            self._handle_applied(now)
+            self._apply_offered(now)
+            self._log_changes(now)
 
-    def _apply(self, now: float) -> None:
-        """Lay what was offered over the file: the latest, since it has all of those before it."""
-        if not self.follower.offered or self._waiting is not None:
+    def _apply_offered(self, now: float) -> None:
+        """Apply the latest offered revision, which includes all earlier ones."""
+        if not self.follower.offered or self._awaiting is not None:
             return
         offer = self.follower.offered[-1]
         self.follower.offered.clear()
         if not any(key.startswith(CONFIG + "/") for key in offer.changed):
-            return self._in_force(now, offer.revision)
+            return self._report_in_force(now, offer.revision)
         entries = config_entries(self.held.document.items())
         try:
-            taken = self.lay_over(lambda file: overlay(file, entries))
+            taken = self.apply_overlay(lambda file: overlay(file, entries))
         except ConfigError as fault:
             self.say(f"revision {offer.revision} is refused, {self.held.in_force} stays in force: {fault}")
             return self.follower.refused(now, offer.revision, str(fault))
         if taken is None:
-            return self._in_force(now, offer.revision)
-        self._waiting = taken, offer.revision
+            return self._report_in_force(now, offer.revision)
+        self._awaiting = taken, offer.revision
 
-    def _owner_took(self, now: float) -> None:
-        while not self._taken.empty():
-            taken = self._taken.get()
-            if self._waiting is not None and taken is self._waiting[0]:
-                revision, self._waiting = self._waiting[1], None
-                self._in_force(now, revision)
+    def _handle_applied(self, now: float) -> None:
+        while not self._configs_applied.empty():
+            taken = self._configs_applied.get()
+            if self._awaiting is not None and taken is self._awaiting[0]:
+                revision, self._awaiting = self._awaiting[1], None
+                self._report_in_force(now, revision)
 
-    def _in_force(self, now: float, revision: int) -> None:
+    def _report_in_force(self, now: float, revision: int) -> None:
         self.follower.in_force(now, revision)
         self.say(f"revision {revision} is in force")
 
-    def _log(self, now: float) -> None:
-        if self.follower.member != self._followed:
-            self._followed = self.follower.member
-            self.say(f"follows {self._followed}" if self._followed else "follows no member")
-        unheard = self.follower.unheard_s(now) >= UNHEARD_S
-        if unheard != self._unheard:
-            self._unheard = unheard
+    def _log_changes(self, now: float) -> None:
+        if self.follower.member != self._member_logged:
+            self._member_logged = self.follower.member
+            self.say(f"follows {self._member_logged}" if self._member_logged else "follows no member")
+        unheard = self.follower.unheard_s(now) >= UNHEARD_LOG_S
+        if unheard != self._unheard_logged:
+            self._unheard_logged = unheard
             self.say(
-                f"no member was heard for {UNHEARD_S:g} s, revision {self.held.in_force} stays in force"
+                f"no member was heard for {UNHEARD_LOG_S:g} s, revision {self.held.in_force} stays in force"
                 if unheard
                 else "a member is heard again"
             )
@@ -210,11 +217,11 @@
             return self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES)
         except (BlockingIOError, TimeoutError):
             return None
-        except OSError:  # an earlier datagram found nobody
+        except OSError:  # an earlier datagram was not delivered (ICMP port unreachable)
             self.traffic["receive failed"] += 1
             return None
 
-    def _take(self, data: bytes, address: Address) -> None:
+    def _handle_datagram(self, data: bytes, address: Address) -> None:
         if not data:
             return
         self.traffic["received"] += 1
@@ -237,26 +244,26 @@
             self.traffic["sent"] += 1
             self.traffic["sent bytes"] += len(data)
 
-    def _keep(self, records: list[bytes]) -> bool:
-        """Before a revision is offered, and when one is in force."""
+    def _store_records(self, records: list[bytes]) -> bool:
+        """Store records before a revision is offered and when one is in force; False if that failed."""
         try:
             self.store.append(records)
         except OSError as fault:
-            self.say(f"what is followed could not be kept: {fault}")
+            self.say(f"a followed revision could not be stored: {fault}")
             return False
-        if self.store.worth_rewriting(self._live()):
+        if self.store.worth_rewriting(self._live_bytes()):
             try:
-                self.store.rewrite(self.held.records())
+                self.store.rewrite(self.held.compacted_records())
             except OSError as fault:
-                self.say(f"the folder could not be written anew: {fault}")
+                self.say(f"the follower's folder could not be rewritten: {fault}")
         return True
 
-    def _live(self) -> int:
-        """Bytes, about, of a folder written anew."""
+    def _live_bytes(self) -> int:
+        """About the size of a rewritten folder, in bytes."""
         return self.held.document.size
 
     def reload(self, settings: FollowSettings) -> None:
-        """Take other members, spans or keys; `ValueError`, and nothing changed, if these cannot be read."""
+        """Apply changed members, intervals or keys; `ValueError` and no change if the keys cannot be read."""
         keys = load_keys(settings.keys)
         with self.lock:
             self.seal.rotate_keys(keys)
@@ -265,7 +272,7 @@
                 self.follower.configure(settings, time.monotonic())
 
     def view(self) -> FollowView | None:
-        """For who asks; None until the folder is open."""
+        """The follower's state for operators; None until the folder is open."""
         with self.lock:
             if self.follower is None:
                 return None
@@ -273,8 +280,8 @@
             refused = {f"not opened: {why}": count for why, count in self.seal.refused.items()}
             return msgspec.structs.replace(view, counters=view.counters | self.traffic | refused)
 
-    def stop(self, most_s: float = 1.0) -> None:
-        """End the rounds, so that the folder is free; any other thread may call it."""
+    def stop(self, timeout_s: float = 1.0) -> None:
+        """End the thread so that the folder is released; any other thread may call it, and waits for it."""
         self._stopping = True
         self._wake()
-        self._stopped.wait(most_s)
+        self._stopped.wait(timeout_s)
