--- a/benchmarks/capacity/tier_sender.py
+++ b/benchmarks/capacity/tier_sender.py
@@ -70,10 +70,10 @@
 def played(size: int, nothing: tuple[float, float, float]) -> dict[str, float]:
     """One sender from an empty folder to the whole document, through changes, idle, and a restart."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(Path(folder), spans=SPANS, rate=4_000_000)
+        fleet = Fleet(Path(folder), timings=SPANS, rate=4_000_000)
         try:
             for first in range(0, size, 2000):
-                fleet.member.put(text(first, min(2000, size - first)))
+                fleet.member.commit_entries(text(first, min(2000, size - first)))
             revision = fleet.member.document.revision
             began = time.monotonic()
             sender = fleet.start()
@@ -84,7 +84,7 @@
             memory = rig.rss_kb(pid) - nothing[1]
             before = cpu(pid)
             for number in range(CHANGES):
-                revision = fleet.member.put(text(number * (size // CHANGES), 1, "y"))
+                revision = fleet.member.commit_entries(text(number * (size // CHANGES), 1, "y"))
                 time.sleep(0.05)
             until(lambda: fleet.view()["in_force"] == revision, 60)
             changes = (cpu(pid) - before) / CHANGES
--- a/willownotch/controlplane/follower.py
+++ b/willownotch/controlplane/follower.py
@@ -141,7 +141,7 @@
 
 
 class Follower:
-    """A sender's follower. `store_records` writes to its folder and returns False if that failed."""
+    """A sender's follower. `persist` writes records to its folder and returns False if that failed."""
 
     def __init__(
         self,
@@ -151,15 +151,9 @@
         settings: FollowSettings,
         now: float,
         random: Random,
-        store_records: Callable[[list[bytes]], bool] = lambda records: True,
+        persist: Callable[[list[bytes]], bool] = lambda records: True,
     ) -> None:
-        self.name, self.uid, self.held, self.random, self.store_records = (
-            name,
-            uid,
-            held,
-            random,
-            store_records,
-        )
+        self.name, self.uid, self.held, self.random, self.persist = name, uid, held, random, persist
         self.counters: Counter[str] = Counter()
         self.offered: list[Offer] = []
         self.member: str | None = None
@@ -169,7 +163,7 @@
         self._answered_number = 0
         self._awaiting_since: float | None = None  # time of the poll that is not answered yet
         self._polled_at = now - MIN_POLL_GAP_S
-        self._unanswered_polls, self._behind_replies, self._newly_followed = 0, 0, True
+        self._unanswered, self._behind, self._is_new = 0, 0, True
         self._poll_at = self._choose_at = now + random.uniform(0.0, START_SPREAD_S)
         self._probe: Probe | None = None
         self._isolated_s = 0.0  # how long the member followed has heard no majority
@@ -183,9 +177,7 @@
         self._distrust = False  # of differences: the tree of digests is fetched instead
         self._last_part_number = 1 << 32  # of the last part that was requested
         self._wait_reason: RefusalReason | None = None  # reason why the member does not send pieces
-        self._announced_at: float | None = (
-            None  # when a newer revision was announced of which nothing came yet
-        )
+        self._announced_at: float | None = None  # of a newer revision, until something of it comes
         self._refused_until = now  # by the member followed
         self.configure(settings, now)
         self._probe_at = now + self._probe_interval_s()
@@ -209,7 +201,7 @@
         self.held.set_in_force(revision)
         if self._refusal[0] <= revision:
             self._refusal = 0, ""
-        if not self.store_records([encode(InForce(revision))]):
+        if not self.persist([encode(InForce(revision))]):
             self.counters["not kept"] += 1
         self._poll_early(now)
 
@@ -330,13 +322,7 @@
         self._follow(now, free[0])
 
     def _follow(self, now: float, member: str) -> None:
-        self.member, self._newly_followed, self._unanswered_polls, self._behind_replies, self._isolated_s = (
-            member,
-            True,
-            0,
-            0,
-            0.0,
-        )
+        self.member, self._is_new, self._unanswered, self._behind, self._isolated_s = member, True, 0, 0, 0.0
         self._awaiting_since, self._poll_at, self._answered_number = None, now, self._poll_number
         self._announced_at, self._refused_until = None, now
         self._probe, self._probe_at = None, now + self._probe_interval_s()
@@ -392,12 +378,10 @@
 
     def _poll_unanswered(self, now: float) -> None:
         self._awaiting_since = None
-        self._unanswered_polls += 1
+        self._unanswered += 1
         self.counters["unanswered"] += 1
         self._poll_at = now
-        if self._unanswered_polls >= (
-            MAX_UNANSWERED_POLLS_NEW if self._newly_followed else MAX_UNANSWERED_POLLS
-        ):
+        if self._unanswered >= (MAX_UNANSWERED_POLLS_NEW if self._is_new else MAX_UNANSWERED_POLLS):
             record = self._record_of(self.member)
             record.silent_in_row += 1
             self._leave(now, min(MAX_SHUN_SILENT_S, SHUN_SILENT_S * 2 ** (record.silent_in_row - 1)))
@@ -407,7 +391,7 @@
         if not self._answered_number < number <= self._poll_number:
             self.counters["late"] += 1
             return False
-        self._answered_number, self._unanswered_polls, self._awaiting_since = number, 0, None
+        self._answered_number, self._unanswered, self._awaiting_since = number, 0, None
         self._poll_at = now + self.period * self.random.uniform(0.9, 1.1)
         return True
 
@@ -455,7 +439,7 @@
         if now < self._probe_at:
             return []
         self._probe_at = now + self._probe_interval_s()
-        if self.member is None or self._newly_followed or self._comparison is not None:
+        if self.member is None or self._is_new or self._comparison is not None:
             return []
         others = [member for member in self.ranked if member != self.member]
         if self._isolated_s < ISOLATED_S:
@@ -487,16 +471,16 @@
         if not self._accept_answer(now, reply.number):
             return []
         document = self.held.document
-        self._newly_followed, self._isolated_s = False, reply.isolated_ms / 1000
+        self._is_new, self._isolated_s = False, reply.isolated_ms / 1000
         if self._isolated_s >= ISOLATED_S:
             self._probe_at = min(self._probe_at, now + self._probe_interval_s())
         record = self._record_of(reply.source)
         record.silent_in_row = 0
         if reply.revision < document.revision or reply.token < document.token:
             self.counters["behind"] += 1
-            self._behind_replies += 1
-            return self._leave(now, SHUN_BEHIND_S) if self._behind_replies >= MAX_BEHIND_REPLIES else []
-        self._behind_replies = 0
+            self._behind += 1
+            return self._leave(now, SHUN_BEHIND_S) if self._behind >= MAX_BEHIND_REPLIES else []
+        self._behind = 0
         if reply.revision == document.revision:
             if (reply.token, reply.digest) != (document.token, document.digest):
                 self.counters["disagrees"] += 1
@@ -520,7 +504,7 @@
         return [] if reply.method is UpdateMethod.NOTHING else self._start_fetch(now, FIRST_PART, 1)
 
     def _handle_push(self, now: float, push: Push) -> list[Send]:
-        if push.revision <= self.held.document.revision or self._newly_followed:
+        if push.revision <= self.held.document.revision or self._is_new:
             return []
         if push.delta and not self._unstored and not self._distrust:
             return self._handle_delta(now, push.delta)
@@ -564,7 +548,7 @@
         return self._start_fetch(now, FIRST_PART, 1)
 
     def _store(self, now: float) -> None:
-        if not self.store_records(self._unstored):
+        if not self.persist(self._unstored):
             self.counters["not kept"] += 1
             self._store_at = now + self.period
             return
--- a/willownotch/controlplane/held.py
+++ b/willownotch/controlplane/held.py
@@ -169,7 +169,7 @@
     @classmethod
     def restored(cls, records: Iterable[bytes]) -> HeldDocument:
         """Rebuild the document from a folder's records; `ValueError` if they cannot be decoded or joined."""
-        restored = cls()
+        held = cls()
         sets: dict[str, bytes] = {}
         removes: list[str] = []
         for data in records:
@@ -182,10 +182,10 @@
                 removes += record.removes
             elif isinstance(record, Step):
                 delta = record.delta
-                restored.advance(
+                held.advance(
                     msgspec.structs.replace(delta, sets=sets | delta.sets, removes=(*removes, *delta.removes))
                 )
                 sets, removes = {}, []
             else:
-                restored.set_in_force(record.revision)
-        return restored
+                held.set_in_force(record.revision)
+        return held
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -142,10 +142,10 @@
                 Random(secrets.randbits(64)),
                 self._store_records,
             )
-            if (in_force := overlay_in_force(self.held)) is not None:
+            if (last_overlay := overlay_in_force(self.held)) is not None:
                 self.say(f"begins with revision {self.held.in_force} in force")
                 try:
-                    self.apply_overlay(in_force)  # a process that handed over may have moved on meanwhile
+                    self.apply_overlay(last_overlay)  # a process that handed over may have moved on meanwhile
                 except ConfigError as fault:
                     self.say(f"revision {self.held.in_force} no longer fits the configuration file: {fault}")
             return
--- a/willownotch/controlplane/simulated.py
+++ b/willownotch/controlplane/simulated.py
@@ -81,7 +81,7 @@
         self.member = member or MemberSettings()
         self.now, self.apply_s = 0.0, 0.02
         self.refusal_of: Callable[[str, Document], str] = lambda name, document: ""
-        self.forge: dict[str, Callable[[Send], list[Send]]] = {}  # by member: replaces what it sends
+        self.alterations: dict[str, Callable[[Send], list[Send]]] = {}  # by member: replaces what it sends
         self.truth = Document()
         self.committed: dict[int, float] = {}
         self.dropped = 0
@@ -251,8 +251,8 @@
 
     def _deliver(self, node: Node, sends: list[Send]) -> None:
         for original in sends:
-            forge = self.forge.get(node.name)
-            for send in [original] if forge is None else forge(original):
+            alter = self.alterations.get(node.name)
+            for send in [original] if alter is None else alter(original):
                 data = self._timed(node, wire.encode, send.message)
                 if len(data) + 32 > wire.MAX_DATAGRAM_BYTES:
                     raise AssertionError(f"a message of {len(data)} bytes does not fit a datagram")
