--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -1,4 +1,4 @@
-"""Followers and members in simulated time: what each does when the other is slow, silent, behind or wrong."""
+"""Followers and members in simulated time, where the other side is slow, silent, behind or wrong."""
 
 from collections import Counter
 from datetime import timedelta
@@ -48,9 +48,11 @@
 def commit(document, sets, removes=(), token=None):
     number = document.revision + 1
     change = Change(number.to_bytes(16, "big"), "a", document.revision, sets, removes)
-    made = Commit(number, document.token if token is None else token, change, document.digest_after(change))
-    document.commit(made)
-    return made
+    committed = Commit(
+        number, document.token if token is None else token, change, document.digest_after(change)
+    )
+    document.commit(committed)
+    return committed
 
 
 def document_of(revisions, token=1):
@@ -68,59 +70,66 @@
     return held
 
 
-class Alone:
-    """One follower, whose members are played by hand. What it sends in a step is in `sent`."""
+class FollowerRig:
+    """One follower with scripted members; `sent` has what it has sent."""
 
     def __init__(self, document=None, settings=SETTINGS, seed=1):
-        self.kept, self.keeps, self.now, self.sent = [], True, 0.0, []
+        self.persisted, self.can_persist, self.now, self.sent = [], True, 0.0, []
         held = held_of(document or Document())
-        self.follower = Follower("s1", 7, held, settings, self.now, Random(seed), self.keep)
+        self.follower = Follower("s1", 7, held, settings, self.now, Random(seed), self.persist)
 
-    def keep(self, records):
-        if self.keeps:
-            self.kept += records
-        return self.keeps
+    def persist(self, records):
+        if self.can_persist:
+            self.persisted += records
+        return self.can_persist
 
     def run(self, until, answer=lambda send: None):
-        """Let time pass; whatever is sent may be answered by a message at once."""
+        """Advance the time; `answer` may answer each datagram at once with a message."""
         while (due := self.follower.due()) <= until:
             self.now = max(self.now, due)
-            self.take(self.follower.tick(self.now), answer)
+            self.deliver(self.follower.tick(self.now), answer)
         self.now = until
 
-    def take(self, sends, answer=lambda send: None):
+    def deliver(self, sends, answer=lambda send: None):
         self.sent += sends
         for send in sends:
             if (message := answer(send)) is not None:
-                self.take(self.follower.receive(self.now, send.address, message), answer)
+                self.deliver(self.follower.receive(self.now, send.address, message), answer)
 
-    def say(self, message):
+    def receive(self, message):
         sends = self.follower.receive(self.now, ("x", 1), message)
         self.sent += sends
         return sends
 
-    def asked(self, kind=Poll):
+    def sent_messages(self, kind=Poll):
         return [send.message for send in self.sent if isinstance(send.message, kind)]
 
 
-def truthful(document, **other):
-    """What a member with this document answers to a poll."""
+def replies_of(document, **other):
+    """A function that answers polls as a member with this document does."""
 
     def answer(send):
         poll = send.message
         if not isinstance(poll, Poll):
             return None
         delta = document.delta(poll.revision) if poll.revision < document.revision else None
-        how, data = (UpdateMethod.INLINE, wire.encode(delta)) if delta else (UpdateMethod.NOTHING, b"")
-        news = PollReply(
-            poll.member, poll.number, document.revision, document.token, document.digest, how, len(data), data
+        method, data = (UpdateMethod.INLINE, wire.encode(delta)) if delta else (UpdateMethod.NOTHING, b"")
+        reply = PollReply(
+            poll.member,
+            poll.number,
+            document.revision,
+            document.token,
+            document.digest,
+            method,
+            len(data),
+            data,
         )
-        return msgspec.structs.replace(news, **other)
+        return msgspec.structs.replace(reply, **other)
 
     return answer
 
 
-def only(member, answer):
+def only_from(member, answer):
     return lambda send: answer(send) if send.address[0] == member else None
 
 
@@ -151,8 +160,8 @@
     assert sum(counted) == 91 and max(counted) <= 2 * 91 / 9
 
 
-def test_the_same_seed_gives_the_same_story():
-    def story():
+def test_the_same_seed_gives_the_same_run():
+    def run():
         plane = Plane(5, 20, Conditions(0.2, repeat=0.1, jitter=0.2), entries=50)
         plane.start_all()
         for _ in range(4):
@@ -161,10 +170,10 @@
         plane.run(plane.now + 20.0)
         return [(node.sent, node.received, node.in_force_history) for node in plane.nodes.values()]
 
-    assert story() == story()
+    assert run() == run()
 
 
-def test_a_dead_member_s_followers_move_and_go_home_again():
+def test_followers_of_a_dead_member_move_and_come_back():
     plane = Plane(3, 40, follow=FollowSettings(home=timedelta(seconds=20)))
     plane.start_all()
     plane.run(10.0)
@@ -174,16 +183,18 @@
     plane.run(25.0)
     revision = plane.change()
     plane.until(lambda: plane.in_force(revision), 11.0)
-    assert all(plane.nodes[name].core.member == "c1" for name in theirs)  # the other one of the zone
+    assert all(plane.nodes[name].core.member == "c1" for name in theirs)  # the other member of the zone
     assert all(node.core.member != "c0" for node in plane.followers())
     plane.start_member("c0")
     plane.until(lambda: set(plane.nodes["c0"].core.followers) == theirs, 120.0)
     plane.run(plane.now + 5.0)
     view = plane.nodes["c1"].core.status(plane.now)
-    assert view.known == 40 and view.unheard == 0 and not view.missing  # counted once each, wherever they are
+    assert (
+        view.known == 40 and view.unheard == 0 and not view.missing
+    )  # each is counted once, whichever member it follows
 
 
-def test_followers_of_a_region_that_is_cut_off_go_on_and_say_since_when():
+def test_followers_of_a_region_that_is_cut_off_go_on_and_report_since_when():
     plane = Plane(4, 30, entries=20)
     plane.start_all()
     plane.run(10.0)
@@ -194,7 +205,7 @@
     east = [node for node in plane.followers() if ZONES[node.zone] == "east"]
     assert {node.core.held.in_force for node in east} == {revision}
     assert {node.core.held.in_force for node in west} == {revision - 1}
-    assert all(ZONES[MEMBERS[node.core.member]] == "west" for node in west)  # served, if by old word
+    assert all(ZONES[MEMBERS[node.core.member]] == "west" for node in west)  # served, if with an old revision
     assert all(25.0 < node.core.unheard_s(plane.now) < 35.0 for node in west)
     assert all(node.core.unheard_s(plane.now) < 5.0 for node in east)
     plane.conditions.cut = lambda a, b: False
@@ -207,22 +218,22 @@
     plane = Plane(5, 20, entries=20)
     plane.start_all()
     plane.run(10.0)
-    alone, followers = {"z1"}, [node for node in plane.followers() if node.zone == "z1"]
+    isolated_zones, followers = {"z1"}, [node for node in plane.followers() if node.zone == "z1"]
     real = plane.is_isolated
-    plane.is_isolated = lambda node: node.zone in alone or real(
+    plane.is_isolated = lambda node: node.zone in isolated_zones or real(
         node
-    )  # cut from the members, not from followers
+    )  # isolated from members, not from followers
     plane.run(50.0)
     revision = plane.change()
     plane.until(lambda: plane.in_force(revision), 11.0)
-    assert all(MEMBERS[node.core.member] not in alone for node in followers)
-    alone.clear()
+    assert all(MEMBERS[node.core.member] not in isolated_zones for node in followers)
+    isolated_zones.clear()
     plane.run(200.0)
     assert all(MEMBERS[node.core.member] == "z1" for node in followers)
 
 
 @pytest.mark.parametrize("empty", [False, True])
-def test_all_started_at_once_are_taken_by_the_admissions_of_each_member(empty):
+def test_followers_started_at_once_are_admitted_at_the_rate_of_each_member(empty):
     plane = Plane(6, 200, member=MemberSettings(admissions=10), entries=20)
     plane.start_all()
     plane.run(15.0)
@@ -279,7 +290,7 @@
     plane.until(lambda: plane.in_force(plane.truth.revision), 90)
     node = plane.nodes["s0"]
     assert node.core.member != first and node.core.held.document.digest == plane.truth.digest
-    assert node.received - had < had * 4  # what was there already was not asked for again
+    assert node.received - had < had * 4  # pieces received before were not requested again
     assert node.core.counters["wrong digest"] == 0
 
 
@@ -317,7 +328,7 @@
     revision = plane.change()
     plane.until(lambda: plane.in_force(revision), 5)
     behind = plane.nodes["s0"].core.member
-    for name in MEMBERS:  # nobody is there
+    for name in MEMBERS:  # no member is up
         plane.kill(name)
     plane.kill("s0")
     plane.start("s0")
@@ -326,7 +337,7 @@
     assert follower.held.in_force == revision and dict(follower.held.entries_in_force()) == dict(
         plane.truth.items()
     )
-    for name in MEMBERS:  # all of them with an old folder
+    for name in MEMBERS:  # all members with an old folder
         plane.nodes[name].document = Document()
         plane.start_member(name)
     plane._catch_up = lambda node: None
@@ -335,7 +346,7 @@
     assert behind in MEMBERS
 
 
-def test_what_a_sender_cannot_apply_is_told_and_the_last_one_stays():
+def test_a_revision_that_a_sender_cannot_apply_is_reported_and_the_last_one_stays():
     plane = Plane(13, 10, entries=20)
     plane.start_all()
     plane.run(5.0)
@@ -351,7 +362,7 @@
     assert [(row[1], row[2], row[3]) for row in view.nacks] == [("s3", first + 1, "no such place")]
     assert view.nacked == 1 and view.in_force == {str(first + 1): 9, str(first): 1} and view.lagging == 1
     plane.kill("s3")
-    plane.start("s3")  # begins on the last one that was in force
+    plane.start("s3")  # begins with the last revision in force
     assert plane.nodes["s3"].core.held.in_force == first
     third = plane.change()  # the next one can be applied
     plane.until(lambda: plane.in_force(third), 8)
@@ -359,7 +370,7 @@
     assert plane.nodes["c0"].core.status(plane.now).nacked == 0
 
 
-# A member that is not what it should be
+# Members that are slow, silent, behind or wrong
 
 
 def test_a_member_of_the_own_zone_is_asked_first_then_of_the_own_region():
@@ -369,95 +380,95 @@
     firsts = Counter(rank_members(f"s{n}", settings)[0] for n in range(400))
     assert min(firsts.values()) > 60
     fewer = msgspec.structs.replace(settings, member={n: m for n, m in names.items() if n != "m2"})
-    for n in range(100):  # only those of the one that is gone move
+    for n in range(100):  # only followers of the removed member move
         assert rank_members(f"s{n}", fewer) == [
             name for name in rank_members(f"s{n}", settings) if name != "m2"
         ]
 
 
 def test_three_polls_without_an_answer_and_another_is_followed():
-    alone = Alone()
-    alone.run(2.0, truthful(Document()))
-    assert alone.follower.member == "near"
-    alone.sent.clear()
-    alone.run(20.0, only("beside", truthful(Document())))
-    polls = [poll.member for poll in alone.asked()]
-    assert polls[:4] == ["near", "near", "near", "beside"] and alone.follower.member == "beside"
+    rig = FollowerRig()
+    rig.run(2.0, replies_of(Document()))
+    assert rig.follower.member == "near"
+    rig.sent.clear()
+    rig.run(20.0, only_from("beside", replies_of(Document())))
+    polls = [poll.member for poll in rig.sent_messages()]
+    assert polls[:4] == ["near", "near", "near", "beside"] and rig.follower.member == "beside"
 
 
-def test_with_nobody_there_it_asks_seldom_and_goes_on():
-    alone = Alone(document_of(3))
-    alone.run(600.0)
-    late = [poll for poll in alone.asked() if poll.number > 40]
-    assert late and len(alone.asked()) < 600 / 3
-    assert alone.follower.held.in_force == 3 and alone.follower.unheard_s(600.0) == 600.0
+def test_without_a_member_it_polls_seldom_and_goes_on():
+    rig = FollowerRig(document_of(3))
+    rig.run(600.0)
+    late = [poll for poll in rig.sent_messages() if poll.number > 40]
+    assert late and len(rig.sent_messages()) < 600 / 3
+    assert rig.follower.held.in_force == 3 and rig.follower.unheard_s(600.0) == 600.0
 
 
-def test_a_refusal_is_heeded_to_the_time_it_tells():
-    alone = Alone()
+def test_a_refusal_is_obeyed_until_its_delay_is_over():
+    rig = FollowerRig()
     times = []
 
     def answer(send):
-        times.append((round(alone.now, 6), send.address[0]))
+        times.append((round(rig.now, 6), send.address[0]))
         if send.address[0] == "near" and len(times) == 1:
             return Refused("near", send.message.number, RefusalReason.RATE, 4000)
-        return truthful(Document())(send) if send.address[0] == "near" else None
+        return replies_of(Document())(send) if send.address[0] == "near" else None
 
-    alone.run(6.0, answer)
+    rig.run(6.0, answer)
     assert [name for _, name in times[:2]] == ["near", "near"] and times[1][0] - times[0][0] >= 4.0
-    alone = Alone()
-    alone.run(
+    rig = FollowerRig()
+    rig.run(
         10.0,
         lambda send: Refused("near", send.message.number, RefusalReason.FULL, 25_000)
         if send.address[0] == "near"
-        else truthful(Document())(send),
+        else replies_of(Document())(send),
     )
-    assert alone.follower.member == "beside" and [p.member for p in alone.asked()].count("near") == 1
+    assert rig.follower.member == "beside" and [p.member for p in rig.sent_messages()].count("near") == 1
 
 
-def test_nothing_older_is_taken_and_its_member_is_left():
-    alone = Alone(document_of(5))
+def test_an_older_revision_is_not_accepted_and_its_member_is_left():
+    rig = FollowerRig(document_of(5))
     old = document_of(3)
-    alone.run(30.0, lambda send: truthful(old if send.address[0] == "near" else document_of(5))(send))
-    assert alone.follower.member == "beside" and alone.follower.held.document.revision == 5
-    assert alone.follower.counters["behind"] == 3 and not alone.follower.offered
-    assert alone.follower.unheard_s(alone.now) < 5.0
+    rig.run(30.0, lambda send: replies_of(old if send.address[0] == "near" else document_of(5))(send))
+    assert rig.follower.member == "beside" and rig.follower.held.document.revision == 5
+    assert rig.follower.counters["behind"] == 3 and not rig.follower.offered
+    assert rig.follower.unheard_s(rig.now) < 5.0
 
 
-def test_a_higher_revision_of_a_lower_token_is_not_taken():
-    alone = Alone(document_of(3, token=9))
+def test_a_higher_revision_of_a_lower_token_is_not_accepted():
+    rig = FollowerRig(document_of(3, token=9))
     other = document_of(5, token=4)
-    alone.run(8.0, truthful(other))
-    assert alone.follower.held.document.revision == 3 and not alone.follower.offered
-    alone.say(Push(alone.follower.member, 5, 4, wire.encode(other.delta(3))))
-    assert alone.follower.held.document.revision == 3
+    rig.run(8.0, replies_of(other))
+    assert rig.follower.held.document.revision == 3 and not rig.follower.offered
+    rig.receive(Push(rig.follower.member, 5, 4, wire.encode(other.delta(3))))
+    assert rig.follower.held.document.revision == 3
 
 
-def test_the_same_revision_with_another_digest_is_not_believed():
-    alone = Alone(document_of(3))
-    wrong = truthful(document_of(3), digest=bytes(16))
-    alone.run(10.0, lambda send: (wrong if send.address[0] == "near" else truthful(document_of(3)))(send))
-    assert alone.follower.member == "beside" and alone.follower.counters["disagrees"] == 1
-    assert [poll.member for poll in alone.asked()].count("near") == 1
+def test_the_same_revision_with_another_digest_is_not_accepted():
+    rig = FollowerRig(document_of(3))
+    wrong = replies_of(document_of(3), digest=bytes(16))
+    rig.run(10.0, lambda send: (wrong if send.address[0] == "near" else replies_of(document_of(3)))(send))
+    assert rig.follower.member == "beside" and rig.follower.counters["disagrees"] == 1
+    assert [poll.member for poll in rig.sent_messages()].count("near") == 1
 
 
-def test_a_wrong_difference_changes_nothing_and_the_tree_is_asked_for():
-    alone, right = Alone(document_of(3)), document_of(4)
+def test_a_wrong_difference_changes_nothing_and_the_digests_are_fetched():
+    rig, right = FollowerRig(document_of(3)), document_of(4)
     delta = msgspec.structs.replace(right.delta(3), sets={"k3": b"forged"})
-    before = alone.follower.held.document.digest
-    alone.run(2.0, truthful(right, delta=wire.encode(delta)))
-    assert alone.follower.held.document.digest == before and not alone.follower.offered and not alone.kept
-    assert [fetch.part.kind for fetch in alone.asked(Fetch)][:1] == [PartKind.GROUPS]
-    fetch = alone.asked(Fetch)[0]
+    before = rig.follower.held.document.digest
+    rig.run(2.0, replies_of(right, delta=wire.encode(delta)))
+    assert rig.follower.held.document.digest == before and not rig.follower.offered and not rig.persisted
+    assert [fetch.part.kind for fetch in rig.sent_messages(Fetch)][:1] == [PartKind.GROUPS]
+    fetch = rig.sent_messages(Fetch)[0]
     forged = wire.encode(SnapshotDigests(4, 1, right.digest, b"".join(document_of(5).groups())))
-    alone.say(Piece("near", fetch.number, 0, 1, forged))
-    assert alone.follower.member is None and alone.follower.counters["wrong digest"] == 2
-    alone.run(12.0, truthful(right))
-    assert alone.follower.member == "beside" and alone.follower.held.document.digest == right.digest
+    rig.receive(Piece("near", fetch.number, 0, 1, forged))
+    assert rig.follower.member is None and rig.follower.counters["wrong digest"] == 2
+    rig.run(12.0, replies_of(right))
+    assert rig.follower.member == "beside" and rig.follower.held.document.digest == right.digest
 
 
-def compared(document, buckets):
-    """A comparison up to the entries, with a snapshot of three entries: the parts of them."""
+def compare(document, buckets):
+    """Compare with a snapshot of three entries down to the buckets; returns the parts of entries to fetch."""
     snapshot = document_of(3)
     comparison = Comparison(document, buckets)
     part = FIRST_PART
@@ -466,8 +477,8 @@
     return snapshot, comparison, [part, *(one for one, _ in more)]
 
 
-def test_entries_that_do_not_add_up_or_lie_elsewhere():
-    snapshot, comparison, parts = compared(Document(), {})
+def test_entries_that_do_not_match_their_digest_or_bucket():
+    snapshot, comparison, parts = compare(Document(), {})
     entries = wire.read_entries(FollowerService._encoded(snapshot, parts[0]))
     for wrong in ({key: b"forged" for key in entries}, {}, entries | {"elsewhere": b"1"}):
         with pytest.raises(ValueError, match="another"):
@@ -478,154 +489,159 @@
 
 
 def test_buckets_that_were_fetched_are_not_asked_for_again():
-    snapshot, first, parts = compared(Document(), buckets := {})
+    snapshot, first, parts = compare(Document(), buckets := {})
     first.on_part(parts[0], FollowerService._encoded(snapshot, parts[0]))
-    _, second, again = compared(Document(), buckets)
+    _, second, again = compare(Document(), buckets)
     assert len(parts) == 3 and again == parts[1:]
     for part in again:
         second.on_part(part, FollowerService._encoded(snapshot, part))
     assert second.is_complete() and dict(second.delta().sets) == dict(snapshot.items())
 
 
-def test_a_tree_that_leads_nowhere_is_as_wrong():
-    alone = Alone(document_of(3))
+def test_digests_of_an_unapplicable_snapshot_count_as_wrong():
+    rig = FollowerRig(document_of(3))
     core = FollowerService("near", document_of(2, token=5), MemberSettings(), 0.0, Random(1))
 
     def carry(sends):
         for send in sends:
             if send.address[0] != "near":
                 continue
-            for reply in core.receive(alone.now, ("s1", 1), send.message):
+            for reply in core.receive(rig.now, ("s1", 1), send.message):
                 message = reply.message
                 if isinstance(message, PollReply):
                     message = msgspec.structs.replace(message, revision=9, method=UpdateMethod.TREE)
-                carry(alone.follower.receive(alone.now, ("near", 1), message))
+                carry(rig.follower.receive(rig.now, ("near", 1), message))
 
-    while alone.now < 2.0:
-        alone.now = max(alone.now, alone.follower.due())
-        carry(alone.follower.tick(alone.now))
-    assert alone.follower.counters["copied"] == alone.follower.counters["wrong digest"] == 1
-    assert alone.follower.member != "near" and alone.follower.held.document.revision == 3
+    while rig.now < 2.0:
+        rig.now = max(rig.now, rig.follower.due())
+        carry(rig.follower.tick(rig.now))
+    assert rig.follower.counters["copied"] == rig.follower.counters["wrong digest"] == 1
+    assert rig.follower.member != "near" and rig.follower.held.document.revision == 3
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"\xc1", b"\x93\x01\x02\x03", wire.encode(document_of(1).delta(0)) + b"x"]
 )
-def test_what_cannot_be_read_is_as_wrong(data):
-    alone = Alone(document_of(3))
-    alone.run(2.0, truthful(document_of(4), delta=data))
-    assert alone.follower.held.document.revision == 3 and alone.follower.counters["wrong digest"] == 1
+def test_undecodable_data_counts_as_wrong(data):
+    rig = FollowerRig(document_of(3))
+    rig.run(2.0, replies_of(document_of(4), delta=data))
+    assert rig.follower.held.document.revision == 3 and rig.follower.counters["wrong digest"] == 1
 
 
-def test_a_revision_that_is_told_and_never_delivered():
-    for how in (UpdateMethod.NOTHING, UpdateMethod.DELTA, UpdateMethod.TREE):
-        alone, right = Alone(document_of(3)), document_of(4)
-        lie = truthful(right, method=how, size=5000, delta=b"", revision=9)
-        alone.run(
+def test_a_revision_that_is_announced_and_never_delivered():
+    for method in (UpdateMethod.NOTHING, UpdateMethod.DELTA, UpdateMethod.TREE):
+        rig, right = FollowerRig(document_of(3)), document_of(4)
+        lie = replies_of(right, method=method, size=5000, delta=b"", revision=9)
+        rig.run(
             60.0,
-            lambda send, lie=lie, right=right: (lie if send.address[0] == "near" else truthful(right))(send),
+            lambda send, lie=lie, right=right: (lie if send.address[0] == "near" else replies_of(right))(
+                send
+            ),
         )
-        assert alone.follower.counters["undelivered"] == 1, how
-        assert alone.follower.member == "beside" and alone.follower.held.document.digest == right.digest
+        assert rig.follower.counters["undelivered"] == 1, method
+        assert rig.follower.member == "beside" and rig.follower.held.document.digest == right.digest
 
 
 def test_a_member_that_says_it_is_busy_is_waited_for_but_not_for_ever():
-    alone, right = Alone(document_of(3)), document_of(4)
+    rig, right = FollowerRig(document_of(3)), document_of(4)
 
     def answer(send):
         if send.address[0] != "near":
-            return truthful(right)(send)
+            return replies_of(right)(send)
         if isinstance(send.message, Fetch):
             return Refused("near", send.message.number, RefusalReason.BUSY, 1500)
         return (
-            truthful(right, method=UpdateMethod.DELTA, size=5000, delta=b"", revision=9)(send)
+            replies_of(right, method=UpdateMethod.DELTA, size=5000, delta=b"", revision=9)(send)
             if isinstance(send.message, Poll)
             else None
         )
 
-    alone.run(100.0, answer)
-    assert alone.follower.member == "near" and alone.follower.counters["told to wait"] > 10
-    alone.run(150.0, answer)
-    assert alone.follower.member == "beside" and alone.follower.counters["undelivered"] == 1
+    rig.run(100.0, answer)
+    assert rig.follower.member == "near" and rig.follower.counters["told to wait"] > 10
+    rig.run(150.0, answer)
+    assert rig.follower.member == "beside" and rig.follower.counters["undelivered"] == 1
 
 
-def test_only_the_member_followed_is_listened_to():
-    alone, right = Alone(document_of(3)), document_of(4)
-    alone.run(2.0, truthful(document_of(3)))
-    alone.say(Push("far", 4, 1, wire.encode(right.delta(3))))
-    assert alone.follower.held.document.revision == 3 and alone.follower.counters["not followed"] == 1
-    alone.say(Push("near", 4, 1, wire.encode(right.delta(3))))
-    alone.say(Push("near", 4, 1, wire.encode(right.delta(3))))  # doubled
-    assert alone.follower.held.document.revision == 4 and len(alone.follower.offered) == 1
+def test_only_messages_of_the_member_followed_are_handled():
+    rig, right = FollowerRig(document_of(3)), document_of(4)
+    rig.run(2.0, replies_of(document_of(3)))
+    rig.receive(Push("far", 4, 1, wire.encode(right.delta(3))))
+    assert rig.follower.held.document.revision == 3 and rig.follower.counters["not followed"] == 1
+    rig.receive(Push("near", 4, 1, wire.encode(right.delta(3))))
+    rig.receive(Push("near", 4, 1, wire.encode(right.delta(3))))  # a duplicate
+    assert rig.follower.held.document.revision == 4 and len(rig.follower.offered) == 1
 
 
-def test_an_answer_that_was_overtaken_says_nothing():
-    alone = Alone(document_of(3))
-    alone.run(8.0, truthful(document_of(3)))
-    number = alone.asked()[0].number
-    alone.say(PollReply("near", number, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
-    alone.say(PollReply("near", 10_000, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
-    assert alone.follower.counters["late"] == 2 and not alone.asked(Fetch)
+def test_a_late_answer_is_ignored():
+    rig = FollowerRig(document_of(3))
+    rig.run(8.0, replies_of(document_of(3)))
+    number = rig.sent_messages()[0].number
+    rig.receive(PollReply("near", number, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
+    rig.receive(PollReply("near", 10_000, 9, 9, bytes(16), UpdateMethod.DELTA, 5000))
+    assert rig.follower.counters["late"] == 2 and not rig.sent_messages(Fetch)
 
 
-def test_a_difference_from_before_what_is_held_still_leads_on():
-    alone, right = Alone(document_of(3)), document_of(6)
-    alone.run(2.0, truthful(document_of(3)))
-    alone.say(Push("near", 6, 1, wire.encode(right.delta(1))))
-    assert alone.follower.held.document.digest == right.digest
+def test_a_difference_from_before_the_held_revision_is_applied():
+    rig, right = FollowerRig(document_of(3)), document_of(6)
+    rig.run(2.0, replies_of(document_of(3)))
+    rig.receive(Push("near", 6, 1, wire.encode(right.delta(1))))
+    assert rig.follower.held.document.digest == right.digest
     later = document_of(9)
-    alone.say(Push("near", 9, 1, wire.encode(later.delta(8))))  # and one from after it does not
-    assert alone.follower.held.document.revision == 6 and alone.follower.counters["gap"] == 1
-
-
-def test_nothing_is_offered_before_it_is_kept():
-    alone, right = Alone(document_of(3)), document_of(4)
-    alone.keeps = False
-    alone.run(10.0, truthful(right))
-    assert not alone.follower.offered and {poll.revision for poll in alone.asked()} == {3}
-    assert alone.follower.counters["not kept"] > 1
-    alone.keeps = True
-    alone.run(20.0, truthful(right))
-    assert [offer.revision for offer in alone.follower.offered] == [4] and alone.asked()[-1].revision == 4
-    assert HeldDocument.restored([*wire_records(document_of(3)), *alone.kept]).document.digest == right.digest
+    rig.receive(Push("near", 9, 1, wire.encode(later.delta(8))))  # one from a later revision is not
+    assert rig.follower.held.document.revision == 6 and rig.follower.counters["gap"] == 1
+
+
+def test_nothing_is_offered_before_it_is_stored():
+    rig, right = FollowerRig(document_of(3)), document_of(4)
+    rig.can_persist = False
+    rig.run(10.0, replies_of(right))
+    assert not rig.follower.offered and {poll.revision for poll in rig.sent_messages()} == {3}
+    assert rig.follower.counters["not kept"] > 1
+    rig.can_persist = True
+    rig.run(20.0, replies_of(right))
+    assert [offer.revision for offer in rig.follower.offered] == [4] and rig.sent_messages()[-1].revision == 4
+    assert (
+        HeldDocument.restored([*document_records(document_of(3)), *rig.persisted]).document.digest
+        == right.digest
+    )
 
 
-def wire_records(document):
+def document_records(document):
     return held_of(document).compacted_records()
 
 
-def test_it_takes_leave_when_it_ends():
-    alone = Alone()
-    alone.run(2.0, truthful(Document()))
-    assert [send.message for send in alone.follower.stop(alone.now)] == [Leave("s1", 7, "near")]
+def test_a_stopped_follower_tells_its_member():
+    rig = FollowerRig()
+    rig.run(2.0, replies_of(Document()))
+    assert [send.message for send in rig.follower.stop(rig.now)] == [Leave("s1", 7, "near")]
 
 
-def test_other_settings_move_it_off_a_member_that_is_gone():
-    alone = Alone()
-    alone.run(2.0, truthful(Document()))
+def test_changed_settings_move_it_off_a_removed_member():
+    rig = FollowerRig()
+    rig.run(2.0, replies_of(Document()))
     fewer = {name: member for name, member in SETTINGS.member.items() if name != "near"}
-    alone.follower.configure(msgspec.structs.replace(SETTINGS, member=fewer), alone.now)
-    alone.run(8.0, truthful(Document()))
-    assert alone.follower.member == "beside"
+    rig.follower.configure(msgspec.structs.replace(SETTINGS, member=fewer), rig.now)
+    rig.run(8.0, replies_of(Document()))
+    assert rig.follower.member == "beside"
 
 
-# What is held
+# Held documents
 
 
-def test_what_is_in_force_is_told_apart_from_what_is_held():
+def test_entries_in_force_and_entries_held_are_kept_apart():
     source, held, records = Document(), HeldDocument(), []
     states = {0: {}}
     for n in range(6):
         commit(source, {"a": b"%d" % n, f"b{n}": b"1"}, (f"b{n - 1}",) if n else ())
         delta = source.delta(n)
         held.advance(delta)
-        records += msgspec_records(delta)
+        records += delta_records(delta)
         states[n + 1] = dict(source.items())
         if n == 2:
             held.set_in_force(2)
             records.append(msgspec.msgpack.encode(["x"]))
             records.pop()
-            records += in_force(2)
+            records += in_force_records(2)
     for one in (held, HeldDocument.restored(records), HeldDocument.restored(held.compacted_records())):
         assert one.in_force == 2 and dict(one.entries_in_force()) == states[2]
         assert dict(one.document.items()) == states[6] and one.document.digest == source.digest
@@ -640,22 +656,22 @@
     assert dict(again.entries_in_force()) == states[6] and again.in_force == 6 and not again.steps
 
 
-def msgspec_records(delta):
+def delta_records(delta):
     from willownotch.controlplane.held import step_records
 
     return step_records(delta)
 
 
-def in_force(revision):
+def in_force_records(revision):
     from willownotch.controlplane.held import InForce, encode
 
     return [encode(InForce(revision))]
 
 
-def test_a_step_that_is_not_whole_in_the_folder_is_not_there():
+def test_an_incomplete_step_in_the_folder_is_ignored():
     source = Document()
     commit(source, {f"k{n}": bytes(100) for n in range(4000)})
-    records = msgspec_records(source.delta(0))
+    records = delta_records(source.delta(0))
     assert len(records) > 3 and max(map(len, records)) < 256 * 1024
     assert HeldDocument.restored(records).document.digest == source.digest
     assert HeldDocument.restored(records[:-1]).document.revision == 0
@@ -676,11 +692,11 @@
     assert dict(held.entries_in_force()) == {"a": b"9"} | {f"k{n}": b"1" for n in range(10)}
 
 
-# A member's side
+# The member's side
 
 
 class Member:
-    """A serving core whose followers are played by hand."""
+    """A `FollowerService` with scripted followers."""
 
     def __init__(self, revisions=3, **settings):
         self.document = document_of(revisions)
@@ -706,18 +722,18 @@
         return [send.message for send in self.core.receive(now, (name, 1), fetch)]
 
 
-def test_a_poll_is_answered_with_what_is_lacking():
+def test_a_poll_is_answered_with_the_missing_difference():
     member = Member()
-    (news,) = member.poll(0.0, revision=1)
-    delta = wire.read_delta(news.delta)
-    assert (news.method, news.revision, delta.since, delta.revision) == (UpdateMethod.INLINE, 3, 1, 3)
+    (reply,) = member.poll(0.0, revision=1)
+    delta = wire.read_delta(reply.delta)
+    assert (reply.method, reply.revision, delta.since, delta.revision) == (UpdateMethod.INLINE, 3, 1, 3)
     assert member.poll(1.0, revision=3)[0].method is UpdateMethod.NOTHING
     assert member.poll(2.0, revision=9)[0].method is UpdateMethod.NOTHING
     member.document.history.clear()
     assert member.poll(3.0, revision=1)[0].method is UpdateMethod.TREE
     commit(member.document, {"big": bytes(5000)})
-    (news,) = member.poll(4.0, revision=3)
-    assert news.method is UpdateMethod.DELTA and news.size > 5000
+    (reply,) = member.poll(4.0, revision=3)
+    assert reply.method is UpdateMethod.DELTA and reply.size > 5000
     pieces = member.fetch(4.0, Part(PartKind.DELTA, 4, 3), (0, 1, 2, 3, 4, 9))
     assert [piece.piece for piece in pieces] == [0, 1, 2, 3, 4] and {p.pieces for p in pieces} == {5}
     assert isinstance(wire.read_delta(b"".join(piece.data for piece in pieces)), Delta)
@@ -727,9 +743,9 @@
     member = Member(rate=4096)
     for n in range(40):
         member.poll(n * 0.1, f"s{n}", revision=3)
-    made = commit(member.document, {"new": bytes(200)})
+    committed = commit(member.document, {"new": bytes(200)})
     now, times = 10.0, []
-    sends = member.core.committed(now, made)
+    sends = member.core.committed(now, committed)
     while len(times) < 40:
         times += [now for send in sends if isinstance(send.message, Push)]
         now = max(now, member.core.due())
@@ -760,7 +776,7 @@
     assert member.poll(3.0, "s2")
 
 
-def test_refused_ones_get_slots_one_after_the_other():
+def test_refused_followers_get_successive_slots():
     member = Member(admissions=10)
     refused = []
     for n in range(100):
@@ -769,13 +785,15 @@
             refused.append((answer.after_ms, n))
     assert len(refused) == 90 and [ms for ms, _ in refused] == sorted({ms for ms, _ in refused})
     assert refused[-1][0] == 9000
-    assert member.poll(0.0, "s99")[0].after_ms == 9000  # asking again changes nothing
+    assert member.poll(0.0, "s99")[0].after_ms == 9000  # polling again changes nothing
     for ms, n in refused:
         assert isinstance(member.poll(ms / 1000 + 0.01, f"s{n}")[0], PollReply)
     crowd = [member.poll(20.0, f"t{n}")[0] for n in range(400)]
     late = {
-        why: [answer.after_ms for answer in crowd if isinstance(answer, Refused) and answer.reason is why]
-        for why in (RefusalReason.RATE, RefusalReason.FULL)
+        reason: [
+            answer.after_ms for answer in crowd if isinstance(answer, Refused) and answer.reason is reason
+        ]
+        for reason in (RefusalReason.RATE, RefusalReason.FULL)
     }
     assert (
         late[RefusalReason.FULL]
@@ -785,14 +803,14 @@
     assert len(member.core._slots) <= 310
 
 
-def test_a_probe_counts_for_nothing():
+def test_a_probe_does_not_make_a_follower():
     member = Member()
-    (news,) = member.poll(0.0, probe=True, revision=1)
-    assert news.method is UpdateMethod.NOTHING and not member.core.followers
+    (reply,) = member.poll(0.0, probe=True, revision=1)
+    assert reply.method is UpdateMethod.NOTHING and not member.core.followers
     assert member.core.counts(0.0).followers == 0
 
 
-def test_a_copy_needs_a_place_and_a_place_is_given_back():
+def test_a_copy_needs_a_slot_and_slots_are_released():
     member = Member(copies=1)
     for name in ("s1", "s2", "s3"):
         member.poll(0.0, name)
@@ -803,18 +821,18 @@
         assert answer.reason is RefusalReason.COPIES
     assert (
         member.fetch(0.2, Part(PartKind.BUCKETS, 3, 0, 1), name="s2")[0].reason is RefusalReason.GONE
-    )  # no way round it
+    )  # a copy is not begun this way either
     assert member.fetch(0.2, Part(PartKind.BUCKETS, 2, 0, 1), name="s1")[0].reason is RefusalReason.GONE
-    member.poll(5.0, "s1", revision=3)  # has it all
+    member.poll(5.0, "s1", revision=3)  # its copy is complete
     assert member.fetch(5.1, groups, name="s3")[0].reason is RefusalReason.COPIES  # s2 was first
     assert isinstance(member.fetch(5.2, groups, name="s2")[0], Piece)
     for at in (9.0, 13.0):
         member.fetch(at, groups, name="s3")
-    member.core.tick(16.0)  # s2 was silent
+    member.core.tick(16.0)  # s2 was silent and lost its slot
     assert isinstance(member.fetch(16.1, groups, name="s3")[0], Piece)
 
 
-def test_a_snapshot_is_shared_while_it_leads_on():
+def test_a_snapshot_is_shared_while_it_is_newer_than_what_followers_hold():
     member = Member()
     tops = []
     for name, revision in (("s1", 0), ("s2", 1), ("s3", 3)):
@@ -823,7 +841,7 @@
         tops.append(wire.read_snapshot_digests(piece.data).revision)
         if name == "s2":
             commit(member.document, {"new": b"1"})
-    assert tops == [3, 3, 4]  # what s3 holds already would lead it nowhere
+    assert tops == [3, 3, 4]  # s3 holds the shared snapshot's revision already
 
 
 @pytest.mark.parametrize(
@@ -837,7 +855,7 @@
         Part(PartKind.ENTRIES, 3, 0, -1),
     ],
 )
-def test_a_part_that_is_not_there(part):
+def test_a_part_that_does_not_exist(part):
     member = Member()
     member.poll(0.0)
     member.fetch(0.0, Part(PartKind.GROUPS, 0))
@@ -860,7 +878,7 @@
     other.poll(0.0)
     commit(other.document, {"big": bytes(60_000)})
     other.poll(0.1, revision=3)
-    for _ in range(4):  # the same again: they wait already
+    for _ in range(4):  # the same pieces are queued already
         answers = other.fetch(0.2, part, tuple(range(16)))
         assert not any(isinstance(answer, Refused) for answer in answers)
     assert len(other.core._pieces) <= 16
@@ -889,7 +907,7 @@
     assert [(one.name, one.revision, one.text) for one in counts.nacks] == [("s3", 3, "no")]
     assert [(one.name, one.for_ms) for one in counts.unheard_names] == [("s4", 20_000)]
     member.core.tick(700.0)
-    assert member.core.counts(700.0).followers == 0  # forgotten in the end
+    assert member.core.counts(700.0).followers == 0  # forgotten after a long silence
 
 
 def test_counts_and_what_is_remembered_are_bounded():
@@ -913,13 +931,13 @@
     there.poll(10.0, revision=3)
     here.core.heard(11.0, "far", there.core.counts(11.0))
     assert not here.core.followers
-    here.poll(12.0, revision=3)  # and it came back
+    here.poll(12.0, revision=3)  # it came back
     here.core.heard(12.5, "far", there.core.counts(12.5))
     assert set(here.core.followers) == {"s1"}
     assert not there.core.counts(10.0 + RECENT_ARRIVAL_S + 0.1).arrived
 
 
-def test_status_tells_all_members_and_which_are_missing():
+def test_status_lists_all_members_and_the_missing_ones():
     member = Member(voters=("near", "far", "gone"))
     member.poll(0.0, revision=3)
     other = FollowerCounts("far", 2, 1, 500, 5, ((2, 3), (1, 2)), 0, 2, (), 0, (), 1, (), ())
@@ -975,7 +993,7 @@
         wire.encode([83, "near", 1, 99, 1]),
     ],
 )
-def test_what_is_no_message(data):
+def test_bytes_that_are_not_a_message(data):
     with pytest.raises((msgspec.DecodeError, UnicodeDecodeError)):
         wire.decode(data)
 
@@ -1012,8 +1030,10 @@
         fetching.on_piece(0.6, Piece("near", 1, piece, 100, b"x"))
     again = [piece for fetch in fetching.next_requests(1.0) for piece in fetch.pieces]
     assert again[:5] == first[:5] and len(again) * 1250 <= 10_000 + 1250
-    assert fetching.on_piece(1.0, Piece("near", 1, 3, 99, b"x")) is None  # another size than it was
-    assert fetching.on_piece(1.0, Piece("near", 9, 3, 100, b"x")) is None  # nobody asked
+    assert (
+        fetching.on_piece(1.0, Piece("near", 1, 3, 99, b"x")) is None
+    )  # another number of pieces than before
+    assert fetching.on_piece(1.0, Piece("near", 9, 3, 100, b"x")) is None  # a part that was not requested
     assert fetching.on_piece(1.0, Piece("near", 1, 100, 100, b"x")) is None
     whole = [fetching.on_piece(2.0, Piece("near", 1, piece, 100, b"%d," % piece)) for piece in range(100)]
     assert whole[-1] is not None and fetching.due() is None and not fetching.next_requests(9.0)
@@ -1028,7 +1048,7 @@
     )
 
 
-def test_a_rate_is_held_and_its_debt_is_bounded():
+def test_a_rate_is_kept_and_its_debt_is_bounded():
     rate = TokenBucket(10.0, 5.0, 0.0)
     assert sum(rate.try_spend(0.0) for _ in range(20)) == 5
     assert rate.ready_at(0.0, 1.0) == pytest.approx(0.1) and rate.try_spend(0.1)
