--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -220,9 +220,8 @@
     plane.run(10.0)
     isolated_zones, followers = {"z1"}, [node for node in plane.followers() if node.zone == "z1"]
     real = plane.is_isolated
-    plane.is_isolated = lambda node: node.zone in isolated_zones or real(
-        node
-    )  # isolated from members, not from followers
+    # Isolated from members, not from followers.
+    plane.is_isolated = lambda node: node.zone in isolated_zones or real(node)
     plane.run(50.0)
     revision = plane.change()
     plane.until(lambda: plane.in_force(revision), 11.0)
--- a/willownotch/controlplane/fetching.py
+++ b/willownotch/controlplane/fetching.py
@@ -44,9 +44,9 @@
         self.last_number += 1
         self.wanted[self.last_number] = WantedPart(part, pieces)
 
-    def pause(self, now: float, after: float) -> None:
-        """Send no requests for `after` seconds; then all missing pieces are requested again."""
-        self.wait_until = now + after
+    def pause(self, now: float, duration_s: float) -> None:
+        """Send no requests for `duration_s` seconds; then all missing pieces are requested again."""
+        self.wait_until = now + duration_s
         for wanted in self.wanted.values():
             wanted.requested_at.clear()
             wanted.next = 0
--- a/willownotch/controlplane/follower.py
+++ b/willownotch/controlplane/follower.py
@@ -307,8 +307,8 @@
     def _record_of(self, member: str) -> MemberRecord:
         return self._member_records.setdefault(member, MemberRecord())
 
-    def _shun(self, now: float, member: str, span: float) -> None:
-        self._record_of(member).shunned_until = now + span
+    def _shun(self, now: float, member: str, duration_s: float) -> None:
+        self._record_of(member).shunned_until = now + duration_s
 
     def _choose(self, now: float) -> None:
         """Follow the first member that is not shunned; if all are, try again when the first time is over."""
@@ -328,15 +328,15 @@
         self._probe, self._probe_at = None, now + self._probe_interval_s()
         self.counters["followed"] += 1
 
-    def _leave(self, now: float, span: float) -> list[Send]:
-        """Stop following the member and shun it for `span` seconds; another is chosen soon."""
+    def _leave(self, now: float, shun_s: float) -> list[Send]:
+        """Stop following the member and shun it for `shun_s` seconds; another is chosen soon."""
         left, self.member = self.member, None
         self._drop_fetch()
         self._awaiting_since = None
         self._choose_at = now + self.random.uniform(0.0, MOVE_SPREAD_S)
         if left is None or left not in self.settings.member:
             return []
-        self._shun(now, left, span)
+        self._shun(now, left, shun_s)
         return [Send(self.settings.member[left].address, Leave(self.name, self.uid, left))]
 
     def _leave_wrong_member(self, now: float) -> list[Send]:
@@ -396,12 +396,12 @@
         return True
 
     def _handle_refused(self, now: float, refused: Refused) -> list[Send]:
-        after = refused.after_ms / 1000
+        after_s = refused.after_ms / 1000
         if refused.reason is RefusalReason.BUSY or refused.reason is RefusalReason.COPIES:
             if self._fetching is not None:
                 self.counters["told to wait"] += 1
                 self._wait_reason = refused.reason
-                self._fetching.pause(now, after)
+                self._fetching.pause(now, after_s)
             return []
         if refused.reason is RefusalReason.GONE:
             if self._fetching is not None and refused.number in self._fetching.wanted:
@@ -411,17 +411,17 @@
         if not self._accept_answer(now, refused.number):
             return []
         self.counters["turned away"] += 1
-        if refused.reason is RefusalReason.RATE and after <= MAX_ADMISSION_WAIT_S:
-            self._refused_until = now + after
+        if refused.reason is RefusalReason.RATE and after_s <= MAX_ADMISSION_WAIT_S:
+            self._refused_until = now + after_s
             self._poll_at = self._refused_until + self.random.uniform(0.0, EARLY_POLL_SPREAD_S)
             return []
-        self._leave(now, after)
+        self._leave(now, after_s)
         return []
 
     def _probe_interval_s(self) -> float:
         """Seconds until another member is probed."""
-        span = ISOLATED_S if self._isolated_s >= ISOLATED_S else self.settings.home.total_seconds()
-        return span * self.random.uniform(0.5, 1.5)
+        interval_s = ISOLATED_S if self._isolated_s >= ISOLATED_S else self.settings.home.total_seconds()
+        return interval_s * self.random.uniform(0.5, 1.5)
 
     def _probe_others(self, now: float) -> list[Send]:
         """Probe a preferred member from time to time; any other, while the one followed hears no majority."""
@@ -565,8 +565,8 @@
     # Parts
 
     def _start_fetch(self, now: float, part: Part, pieces: int) -> list[Send]:
-        whole = part.kind is not PartKind.DELTA or part.node == 0
-        rate = self.settings.rate if whole else self.settings.budget
+        is_copy = part.kind is not PartKind.DELTA or part.node == 0
+        rate = self.settings.rate if is_copy else self.settings.budget
         self._fetching = PartFetcher(self.name, self.member, rate, self.patience, now, self._last_part_number)
         self._fetching.add_part(part, pieces)
         self._comparison = (
@@ -596,12 +596,12 @@
     def _handle_piece(self, now: float, piece: Piece) -> list[Send]:
         if self._fetching is None:
             return []
-        whole = self._fetching.on_piece(now, piece)
+        complete = self._fetching.on_piece(now, piece)
         if self._fetching.progress_at == now:
             self._wait_reason, self._announced_at = None, None
-        if whole is None:
+        if complete is None:
             return self._continue_fetch(now)
-        part, data = whole
+        part, data = complete
         if part.kind is PartKind.DELTA:
             self._drop_fetch()
             return self._handle_delta(now, data)
--- a/willownotch/controlplane/held.py
+++ b/willownotch/controlplane/held.py
@@ -139,7 +139,7 @@
     def compacted_records(self) -> list[bytes]:
         """All records for a rewritten folder: the revision in force, then the step to the held one."""
         if not self.steps:
-            whole = Delta(
+            complete = Delta(
                 0,
                 self.document.revision,
                 self.document.token,
@@ -147,14 +147,14 @@
                 (),
                 self.document.digest,
             )
-            return [*step_records(whole), encode(InForce(self.in_force))] if self.document.revision else []
-        found = []
+            return [*step_records(complete), encode(InForce(self.in_force))] if self.document.revision else []
+        records = []
         if self.in_force:
             earlier = dict(self.entries_in_force())
-            found += step_records(
+            records += step_records(
                 Delta(0, self.in_force, self._token_in_force, earlier, (), self._digest_in_force)
             )
-            found.append(encode(InForce(self.in_force)))
+            records.append(encode(InForce(self.in_force)))
         now = {key: self.document.get(key) for key in self._previous_values()}
         last = Delta(
             self.in_force,
@@ -164,7 +164,7 @@
             tuple(key for key, value in now.items() if value is None),
             self.document.digest,
         )
-        return found + step_records(last)
+        return records + step_records(last)
 
     @classmethod
     def restored(cls, records: Iterable[bytes]) -> HeldDocument:
--- a/willownotch/controlplane/sender.py
+++ b/willownotch/controlplane/sender.py
@@ -128,11 +128,11 @@
         pause = threading.Event()
         while not self._stopping and not self.handed_over():
             try:
-                found = self.store.load()
+                records = self.store.load()
             except BusyError:
                 pause.wait(FOLDER_RETRY_S)
                 continue
-            self.held = HeldDocument.restored(found)
+            self.held = HeldDocument.restored(records)
             self.follower = Follower(
                 self.name,
                 self._uid,
@@ -154,14 +154,14 @@
         """Wait for a datagram or a timer, then handle all that is there."""
         with self.lock:
             due = self.follower.due()
-        wait = max(0.0005, min(MAX_ROUND_WAIT_S, due - time.monotonic()))
-        found = self._receive(wait)
+        wait_s = max(0.0005, min(MAX_ROUND_WAIT_S, due - time.monotonic()))
+        datagram = self._receive(wait_s)
         with self.lock:
             for _ in range(MAX_DATAGRAMS_PER_ROUND):
-                if found is None:
+                if datagram is None:
                     break
-                self._handle_datagram(*found)
-                found = self._receive(0.0)
+                self._handle_datagram(*datagram)
+                datagram = self._receive(0.0)
             now = time.monotonic()
             if self.follower.due() <= now:
                 self._send(self.follower.tick(now))
@@ -179,18 +179,19 @@
             return self._report_in_force(now, offer.revision)
         entries = config_entries(self.held.document.items())
         try:
-            taken = self.apply_overlay(lambda file: overlay(file, entries))
+            config = self.apply_overlay(lambda file: overlay(file, entries))
         except ConfigError as fault:
             self.say(f"revision {offer.revision} is refused, {self.held.in_force} stays in force: {fault}")
             return self.follower.refused(now, offer.revision, str(fault))
-        if taken is None:
+        if config is None:
             return self._report_in_force(now, offer.revision)
-        self._awaiting = taken, offer.revision
+        self._awaiting = config, offer.revision
 
     def _handle_applied(self, now: float) -> None:
+        """Report the awaited revision as in force once the decision loop has applied its configuration."""
         while not self._configs_applied.empty():
-            taken = self._configs_applied.get()
-            if self._awaiting is not None and taken is self._awaiting[0]:
+            config = self._configs_applied.get()
+            if self._awaiting is not None and config is self._awaiting[0]:
                 revision, self._awaiting = self._awaiting[1], None
                 self._report_in_force(now, revision)
 
@@ -211,8 +212,8 @@
                 else "a member is heard again"
             )
 
-    def _receive(self, wait: float) -> tuple[bytes, Address] | None:
-        self.sock.settimeout(wait)
+    def _receive(self, wait_s: float) -> tuple[bytes, Address] | None:
+        self.sock.settimeout(wait_s)
         try:
             return self.sock.recvfrom(2 * wire.MAX_DATAGRAM_BYTES)
         except (BlockingIOError, TimeoutError):
@@ -259,7 +260,7 @@
         return True
 
     def _live_bytes(self) -> int:
-        """About the size of a rewritten folder, in bytes."""
+        """Approximate size of a rewritten folder, in bytes."""
         return self.held.document.size
 
     def reload(self, settings: FollowSettings) -> None:
@@ -277,7 +278,7 @@
             if self.follower is None:
                 return None
             view = self.follower.view(time.monotonic())
-            refused = {f"not opened: {why}": count for why, count in self.seal.refused.items()}
+            refused = {f"not opened: {reason}": count for reason, count in self.seal.refused.items()}
             return msgspec.structs.replace(view, counters=view.counters | self.traffic | refused)
 
     def stop(self, timeout_s: float = 1.0) -> None:
--- a/willownotch/controlplane/simulated.py
+++ b/willownotch/controlplane/simulated.py
@@ -56,9 +56,7 @@
     sent: int = 0  # bytes
     received: int = 0
     cpu: float = 0.0  # s
-    in_force_history: list[tuple[float, int]] = field(
-        default_factory=list
-    )  # time and revision, each time one came in force
+    in_force_history: list[tuple[float, int]] = field(default_factory=list)  # times and revisions
 
 
 class Plane:
@@ -308,12 +306,12 @@
                     other.core.heard(self.now, node.name, counts)
             self._add_event(self.now + COUNTS_INTERVAL_S, "counts", node.name, node.incarnation)
 
-    def until(self, condition: Callable[[], bool], most: float) -> float:
-        """Advance until the condition holds; returns the time. `AssertionError` after `most` seconds."""
-        end = self.now + most
+    def until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Advance until the condition holds; returns the time. `AssertionError` after `timeout_s` seconds."""
+        end = self.now + timeout_s
         while not condition():
             if self.now >= end:
-                raise AssertionError(f"not within {most} s")
+                raise AssertionError(f"condition not met within {timeout_s} s")
             self.run(min(end, self.now + 0.05))
         return self.now
 
