--- a/tests/test_mesh_sockets.py
+++ b/tests/test_mesh_sockets.py
@@ -187,7 +187,7 @@
     for request, about, expected in (
         ("nothing", {}, "allowed: counters, peers, usage"),
         ("usage", {"x": "1"}, "unknown word"),
-        ("usage", {"lines": "many"}, "no whole number"),
+        ("usage", {"lines": "many"}, "not a whole number"),
     ):
         with pytest.raises(AskError, match=expected):
             ask(fleet.socket(0), request, about)
