--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -306,7 +306,10 @@
 
     def known_by(count):
         return (
-            sum("e1" in layers[n].judgements.verdicts(net.now + net.offsets[n], LISTED) for n in net.running_members())
+            sum(
+                "e1" in layers[n].judgements.verdicts(net.now + net.offsets[n], LISTED)
+                for n in net.running_members()
+            )
             == count
         )
 
